--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -1,66 +1,66 @@
-//! Whether a request may wait, and when a refused one may come back.
+//! Admission to an agent's queue, and `Retry-After` times for rejected requests.
 //!
-//! Load pattern: more arrives than the engine can do, in bursts or for hours. Without a bound the
-//! queue grows until every answer comes after its caller has gone, and the engine works for nobody.
+//! Load pattern: more work arrives than the engine can do, in bursts or for hours. An unbounded queue
+//! grows until every answer arrives after its caller has gone, and the engine's work is wasted.
 //!
-//! The bound is on the *expected wait*, worked out from the measured drain, and not on a length:
-//! ten long drafts and ten short checks are not the same queue.
+//! The bound is on the *expected wait*, computed from the measured drain rate, rather than on the
+//! number of requests: ten long drafts take far longer than ten short checks.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// The drain is measured over windows of this length: some 25 steps of an engine.
+/// Window over which the drain rate is measured: about 25 engine steps.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// The weight of one window: the figure follows a change in about five seconds.
-const FOLLOW: f64 = 0.2;
+/// Weight of the newest window: the rate follows a change in about five seconds.
+const WINDOW_WEIGHT: f64 = 0.2;
 
-/// Callers told to come back sooner than this would ask again within a few steps of the engine.
+/// Callers told to retry sooner than this would be back within a few steps of the engine.
 const MIN_RETRY: Duration = Duration::from_millis(100);
 
-/// Nobody is sent away for longer: the estimate is worth little beyond.
+/// Upper bound on retry times: the estimate is unreliable beyond it.
 const MAX_RETRY: Duration = Duration::from_secs(120);
 
-/// How quickly work leaves the queue, measured while some waits.
+/// The rate at which work leaves the queue, measured only while requests are waiting.
 #[derive(Clone, Debug, Default)]
 pub struct Drain {
-    // Cost a second; none before the first full window.
+    // Cost per second; `None` before the first full window.
     rate: Option<f64>,
-    since: Time,
+    window_start: Time,
     cost: u64,
-    // Whether the window may count: work waited since its beginning.
+    // Whether the current window counts: work has been waiting since it began.
     contended: bool,
 }
 
-/// How the waits turned out against what was expected.
+/// A correction factor for expected waits, learned from how long requests actually waited.
 ///
-/// The estimate knows what waits now, and not the short jobs that will come and go before, nor the
-/// time for which a job has to wait until it fits into memory.
+/// The estimate covers only what waits now. It leaves out short jobs that will arrive later and start
+/// earlier, and the time that a job waits until it fits into memory.
 #[derive(Clone, Debug)]
 pub struct Correction {
-    // Means over recent starts, in seconds.
+    // Moving averages over recent starts, in seconds.
     expected: f64,
     actual: f64,
 }
 
-/// A ceiling on requests a second.
+/// A limit on requests per second.
 ///
-/// It is kept as the time at which the next request would be on schedule, so it is one word and
-/// there is nothing to refill.
+/// Implemented as a generic cell rate algorithm: the only state is the time at which the next request
+/// would be on schedule, so there are no tokens to refill.
 #[derive(Clone, Debug, Default)]
 pub struct RateCeiling {
     next: Time,
 }
 
-/// What a workspace meets when it asks to wait.
+/// The work ahead of a request that is about to be queued.
 #[derive(Clone, Copy, Debug)]
 pub struct Queue {
-    /// Cost that waits and goes before it, of all workspaces.
+    /// Cost of all waiting requests that start earlier, over all workspaces.
     pub total: u64,
-    /// The same of its own workspace, with what that is ahead of the others.
+    /// The same for its own workspace, plus the service that the workspace has received ahead of others.
     pub own: u64,
-    /// The part of the drain that the workspace is due.
+    /// The share of the drain rate to which the workspace is entitled.
     pub part: f64,
 }
 
@@ -74,58 +74,58 @@
 }
 
 impl Correction {
-    // Some 64 starts.
-    const FOLLOW: f64 = 1.0 / 64.0;
-    // A factor outside says that the load has changed, and no more.
+    // Averages over about 64 starts.
+    const SAMPLE_WEIGHT: f64 = 1.0 / 64.0;
+    // A factor outside these bounds only shows that the load has changed.
     const BOUNDS: (f64, f64) = (0.5, 4.0);
 
-    /// Takes in a start.
+    /// Records the expected and the actual wait of a request that has started.
     pub fn observe(&mut self, expected: Duration, actual: Duration) {
-        self.expected += Self::FOLLOW * (expected.as_secs_f64() - self.expected);
-        self.actual += Self::FOLLOW * (actual.as_secs_f64() - self.actual);
+        self.expected += Self::SAMPLE_WEIGHT * (expected.as_secs_f64() - self.expected);
+        self.actual += Self::SAMPLE_WEIGHT * (actual.as_secs_f64() - self.actual);
     }
 
-    /// The factor for expected waits.
+    /// The factor by which to multiply expected waits.
     pub fn get(&self) -> f64 {
-        // Waits of a few steps say nothing of a queue.
-        let least = 0.1;
-        ((self.actual + least) / (self.expected + least)).clamp(Self::BOUNDS.0, Self::BOUNDS.1)
+        // Damps the ratio when waits are only a few steps long and say nothing about the queue.
+        let damping = 0.1;
+        ((self.actual + damping) / (self.expected + damping)).clamp(Self::BOUNDS.0, Self::BOUNDS.1)
     }
 }
 
 impl Drain {
-    /// Takes in cost that was done.
+    /// Adds the cost of completed work.
     pub fn done(&mut self, cost: u64) {
         self.cost += cost;
     }
 
-    /// Takes in whether work waits; to be told at each event.
+    /// Updates the rate. Must be called at each event with whether any work is waiting.
     pub fn observe(&mut self, now: Time, waiting: bool) {
         if !waiting || !self.contended {
-            self.since = now;
+            self.window_start = now;
             self.cost = 0;
             self.contended = waiting;
             return;
         }
-        let passed = now.since(self.since);
-        if passed < WINDOW {
+        let elapsed = now.since(self.window_start);
+        if elapsed < WINDOW {
             return;
         }
-        let sample = self.cost as f64 / passed.as_secs_f64();
+        let sample = self.cost as f64 / elapsed.as_secs_f64();
         let rate = self.rate.unwrap_or(sample);
-        self.rate = Some(rate + FOLLOW * (sample - rate));
-        self.since = now;
+        self.rate = Some(rate + WINDOW_WEIGHT * (sample - rate));
+        self.window_start = now;
         self.cost = 0;
     }
 
-    /// Cost a second, where it was measured.
+    /// Cost per second, or `None` if it has not been measured yet.
     pub fn rate(&self) -> Option<f64> {
         self.rate
     }
 }
 
 impl RateCeiling {
-    /// Takes a request, or says when the next one may come.
+    /// Admits a request, or returns the time until the next one may be sent.
     pub fn take(&mut self, now: Time, rate: f64, burst: u32) -> Result<(), Duration> {
         if rate <= 0.0 {
             return Ok(());
@@ -141,15 +141,15 @@
         Ok(())
     }
 
-    /// Whether nothing is counted against the workspace any more.
+    /// Whether the full burst is available again, so that the limiter holds no state.
     pub fn is_idle(&self, now: Time) -> bool {
         self.next <= now
     }
 }
 
 impl Queue {
-    /// The wait at a drain of `rate`. The workspace is served at its part of the drain at least,
-    /// and all that waits is done after the total in any case.
+    /// The expected wait at a drain rate of `rate`. The workspace receives at least its share of the
+    /// rate, and no request waits longer than all queued work takes.
     pub fn wait(&self, rate: f64) -> Duration {
         let total = self.total as f64 / rate;
         let own = self.own as f64 / (rate * self.part.max(f64::MIN_POSITIVE));
@@ -157,18 +157,19 @@
     }
 }
 
-/// Paces those who come back to one workspace.
+/// Spreads the retries of rejected requests of one workspace over time.
 ///
-/// If all were told the same time, all but one would be refused again. Each refusal takes the next
-/// place in a queue of promises that drains as the real one does.
+/// If all callers were given the same retry time, all but one would be rejected again. So each
+/// rejection reserves the next slot in a virtual queue that drains at the rate of the real one.
 #[derive(Clone, Debug, Default)]
 pub struct Promises {
     last: Time,
 }
 
 impl Promises {
-    /// When a request should come back whose wait is `excess` too long and which takes `service`
-    /// of the workspace's part of the drain.
+    /// Reserves a retry slot and returns the time until it. `excess` is how far the expected wait
+    /// exceeds the bound; `service` is the time that the request takes at the workspace's share of the
+    /// drain rate.
     pub fn promise(&mut self, now: Time, excess: Duration, service: Duration) -> Duration {
         let earliest = now + excess;
         self.last = self.last.max(earliest) + service;
@@ -177,13 +178,13 @@
         after
     }
 
-    /// Whether all promised times have passed.
+    /// Whether all reserved slots have passed.
     pub fn is_idle(&self, now: Time) -> bool {
         self.last <= now
     }
 }
 
-/// A duration of that many seconds, bounded to what durations hold.
-pub(crate) fn seconds(figure: f64) -> Duration {
-    Duration::from_secs_f64(figure.clamp(0.0, 1e9))
+/// Converts seconds to a duration, clamped to 0 to 10^9 seconds.
+pub(crate) fn seconds(secs: f64) -> Duration {
+    Duration::from_secs_f64(secs.clamp(0.0, 1e9))
 }
--- a/lib/src/intake.rs
+++ b/lib/src/intake.rs
@@ -1,23 +1,24 @@
-//! Whether a stream is taken in, and when its caller is asked back.
+//! Admission control for streams, and the `Retry-After` of those that are rejected.
 //!
-//! Load pattern: more callers come for seconds than the engines can serve: 1.5 to 6 times as many. An
-//! engine's memory fills with long runs, it displaces some of them in the middle, and all that it reads
-//! waits behind what it reads again. Taken in without a bound, everyone waits, and the more come the fewer
-//! are served: at 6 times the usual load a sixth of what the same engines do at 1.5 times.
+//! Load pattern: for some seconds, 1.5 to 6 times as many requests arrive as the engines can serve. An
+//! engine's memory fills with long runs, it preempts some of them midway, and all prompts wait behind the
+//! prefills that this repeats. Without a bound every request waits, and the higher the load the fewer are
+//! served: at 6 times the usual load a sixth of what the same engines serve at 1.5 times.
 //!
-//! So a stream is taken in where its engine is expected to hold it to its end and to begin it in time, and
-//! turned away at once everywhere else. What is judged is the engine that would serve it best, with the
-//! plan that its scout keeps and what was sent there since.
+//! So a stream is admitted only if its engine is expected to hold it to its end and to begin it in time;
+//! otherwise it is rejected at once. The check looks at the engine that would serve it best, using the plan
+//! that the engine's scout maintains and the requests sent there since.
 //!
-//! - **Memory.** The highest point that is expected must fit. Requests that are less urgent than others of
-//!   the service leave a part free for these, so that an urgent one never waits for a long one to end.
-//! - **Reading.** The prompts before it must be read in a part of the objective. Its own is not judged: it
-//!   takes as long everywhere, and long ones would be turned away by idle engines.
+//! - **Memory.** The expected peak must fit. Less urgent kinds of request leave a share free for the more
+//!   urgent kinds of the service, so that an urgent request never waits for a long run to end.
+//! - **Prefill.** The prompts queued ahead must be prefilled within a share of the objective. The request's
+//!   own prompt is not counted: it takes equally long on every engine, and counting it would make idle
+//!   engines reject long prompts.
 //!
-//! A workspace that has taken more than its share leaves room for the others, see [`crate::workspace_use`].
+//! A workspace that has used more than its share leaves room for the others, see [`crate::workspace_use`].
 //!
-//! A caller that was turned away and is back in time goes before others of its kind: its objective runs
-//! since it came first. One that cannot be in time any more takes only what others leave.
+//! A rejected caller that retries in time takes precedence over others of its kind: its objective counts
+//! from its first attempt. One that can no longer be in time only gets what the others leave.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -33,65 +34,66 @@
 use crate::site::ServiceSpec;
 use crate::time::Time;
 
-/// The part of an engine's memory that the most urgent kind of request may fill. Half of the runs outlive
-/// their expectation, and a displaced run costs its caller a pause and the engine a prompt.
-const MEMORY_PART: f64 = 0.95;
+/// The share of an engine's memory that the most urgent kind of request may fill. Half of the runs grow
+/// longer than expected, and a preempted run costs its caller a pause and the engine another prefill.
+const MEMORY_SHARE: f64 = 0.95;
 
-/// The part that each less urgent kind leaves free for those before it: a prompt of 2,500 tokens in memories of
-/// 27,000 and 34,000, of which an urgent request holds little else and not for long.
-const KIND_PART: f64 = 0.08;
+/// The share of memory that each kind leaves free for every kind that is more urgent: a prompt of 2,500
+/// tokens in engines of 27,000 and 34,000. An urgent request holds little more than its prompt, and not for
+/// long.
+const KIND_RESERVE: f64 = 0.08;
 
-/// The least part that any kind may fill.
-const LEAST_PART: f64 = 0.5;
+/// The smallest share of memory to which any kind is limited.
+const MIN_MEMORY_SHARE: f64 = 0.5;
 
-/// What a caller that is back in time may fill beyond the others of its kind, and what one that is late
-/// leaves free for them, of memory and of the objective.
-const BACK_PART: f64 = 0.05;
-const LATE_PART: f64 = 0.25;
+/// The share of memory and of the objective that a caller retrying in time may use beyond others of its
+/// kind, and the share that one retrying late leaves free for them.
+const RETRY_BONUS: f64 = 0.05;
+const LATE_RESERVE: f64 = 0.25;
 
-/// What a workspace that has taken more than its share leaves free for others, of memory and of the objective:
-/// a long request at each engine, which is room for the few that the others send.
-const OVER_PART: f64 = 0.12;
+/// The share of memory and of the objective that a workspace over its share leaves free: one long request
+/// per engine, which is enough for the few that the other workspaces send.
+const OVER_SHARE_RESERVE: f64 = 0.12;
 
-/// The part of the objective in which the prompts before a request may be read, for the most urgent kind and
-/// for the others. Urgent ones are read first and hardly wait: what they need is that few of them are under
-/// way, since all that runs is slower while an engine reads. The others have them come in between; with
-/// more for urgent ones, long runs would hold their memory for up to twice as long.
-const READING_FIRST: f64 = 0.3;
-const READING_REST: f64 = 0.5;
+/// The share of the objective that the prompts queued ahead may take to prefill, for the most urgent kind
+/// and for the others. Urgent prompts are prefilled first and hardly wait, but all runs are slower during a
+/// prefill, so that few of them may be in progress. The other kinds have urgent prompts cut in ahead of
+/// them. A larger share for urgent ones would make long runs hold their memory for up to twice as long.
+const PREFILL_SHARE_URGENT: f64 = 0.3;
+const PREFILL_SHARE_OTHER: f64 = 0.5;
 
-/// Engines that are judged for one request: what fits nowhere among the best of them fits nowhere.
-const MOST_JUDGED: usize = 5;
+/// Engines checked per request: one that does not fit on the best of them fits on none.
+const MAX_CHECKED: usize = 5;
 
-/// The part of the objective after which a caller that comes back is not in time any more.
-const BACK_IN_TIME: f64 = 0.55;
+/// The share of the objective after which a retry is too late to be in time.
+const RETRY_IN_TIME_SHARE: f64 = 0.55;
 
-/// The first that a caller is asked back: an engine ends a run in some hundred milliseconds.
-const SOONEST: Duration = Duration::from_millis(200);
+/// The shortest retry delay: an engine ends a run within some hundred milliseconds.
+const MIN_DELAY: Duration = Duration::from_millis(200);
 
-/// A caller heeds a time of up to a third of what it has left.
-const HEEDED: u32 = 3;
+/// Callers heed a `Retry-After` of at most this fraction (one third) of their remaining time.
+const HEEDED_DIVISOR: u32 = 3;
 
-/// An interval between two that were taken in says no more about the pace when it is longer.
-const LONGEST_INTERVAL: f64 = 4.0;
+/// Upper bound in seconds on an interval between admissions: longer ones say nothing more about their rate.
+const MAX_INTERVAL: f64 = 4.0;
 
-/// The weight of the latest interval between two that were taken in.
-const NEW_WEIGHT: f64 = 0.1;
+/// The weight of the newest interval between admissions in the moving average.
+const INTERVAL_WEIGHT: f64 = 0.1;
 
 copy_type! {
-    /// Why a stream is not taken in.
+    /// The resource for lack of which a stream is rejected.
     pub enum Crowded {
-        /// No engine has memory for it.
+        /// The expected peak does not fit into the engine's memory.
         Memory,
-        /// Prompts that are read first would make it late.
+        /// The prompts queued ahead would take too long to prefill.
         Reading,
-        /// No engine has a free slot.
+        /// All slots of the engine are in use.
         Slots,
     }
 }
 
 impl Crowded {
-    /// The word for logs and counters.
+    /// The name used in logs and counters.
     pub fn word(self) -> &'static str {
         match self {
             Crowded::Memory => "memory",
@@ -101,40 +103,40 @@
     }
 }
 
-/// A stream that asks to be taken in.
+/// What the admission check knows about a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Asking {
-    /// How many kinds of request of the service are more urgent.
+    /// The number of kinds of request of the service that are more urgent.
     pub before: u32,
-    /// How long ago its caller first asked, where it was turned away and is back; zero for others.
+    /// For a retry of a rejected request, the time since the first attempt; otherwise zero.
     pub age: Duration,
-    /// Whether its workspace has taken more than its share lately.
+    /// Whether its workspace has recently used more than its share.
     pub over: bool,
-    /// The time within which its first event is worth the most.
+    /// The latency objective for the first event.
     pub objective: Duration,
 }
 
-/// A stream that is not taken in.
+/// Details of a rejected stream, for logs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TurnedAway {
-    /// What is short.
+    /// The resource that it lacked.
     pub why: Crowded,
     /// The engine that would have served it best.
     pub server: ServerKey,
-    /// What it would have met there.
+    /// The load that it would have met there.
     pub outlook: Outlook,
 }
 
-/// Why a request has no place.
+/// Why no engine was selected for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NoPlace {
-    /// No server is left for it.
+    /// No server is eligible.
     NoServer(NoServer),
-    /// All that could serve it are too crowded.
+    /// All eligible engines are overloaded. Holds the details for the best of them.
     Crowded(TurnedAway),
 }
 
-/// The engine at which a stream is taken in: the best one that is not too crowded.
+/// Selects the best engine that passes [`judge`], among the first [`MAX_CHECKED`].
 pub fn place(
     fleet: &Fleet,
     now: Time,
@@ -142,110 +144,115 @@
     spec: &ServiceSpec,
     asking: &Asking,
 ) -> Result<ServerKey, NoPlace> {
-    let mut passed = need.tried.to_vec();
-    let mut turned = None;
-    for _ in 0..MOST_JUDGED {
+    let mut excluded = need.tried.to_vec();
+    let mut rejected = None;
+    for _ in 0..MAX_CHECKED {
         let need = Need {
-            tried: &passed,
+            tried: &excluded,
             ..need.clone()
         };
         let server = match fleet.choose(now, &need, spec) {
             Ok(server) => server,
-            Err(why) => return Err(turned.unwrap_or(NoPlace::NoServer(why))),
+            Err(why) => return Err(rejected.unwrap_or(NoPlace::NoServer(why))),
         };
         let outlook = fleet.outlook(now, server, &need, spec);
         let Err(why) = judge(asking, &outlook) else {
             return Ok(server);
         };
-        turned.get_or_insert(NoPlace::Crowded(TurnedAway {
+        rejected.get_or_insert(NoPlace::Crowded(TurnedAway {
             why,
             server,
             outlook,
         }));
-        passed.push(server);
+        excluded.push(server);
     }
-    Err(turned.unwrap_or(NoPlace::NoServer(NoServer::None)))
+    Err(rejected.unwrap_or(NoPlace::NoServer(NoServer::None)))
 }
 
-/// Whether the stream is taken in.
+/// Checks whether an engine with this outlook has room for the stream.
 pub fn judge(asking: &Asking, outlook: &Outlook) -> Result<(), Crowded> {
-    let kinds = f64::from(asking.before) * KIND_PART;
-    let back = match asking.age + outlook.before + outlook.own {
+    let reserve = f64::from(asking.before) * KIND_RESERVE;
+    let bonus = match asking.age + outlook.before + outlook.own {
         _ if asking.age.is_zero() => 0.0,
-        begins if begins <= asking.objective => BACK_PART,
-        _ => -LATE_PART,
+        begins if begins <= asking.objective => RETRY_BONUS,
+        _ => -LATE_RESERVE,
     };
-    let back = if asking.over { back - OVER_PART } else { back };
-    let part = (MEMORY_PART - kinds).max(LEAST_PART) + back;
+    let bonus = if asking.over {
+        bonus - OVER_SHARE_RESERVE
+    } else {
+        bonus
+    };
+    let share = (MEMORY_SHARE - reserve).max(MIN_MEMORY_SHARE) + bonus;
     if outlook.running >= outlook.slots {
         return Err(Crowded::Slots);
     }
-    // What is larger than the part is taken in by an engine that has nothing else: it would wait for
-    // ever for a better one.
-    if outlook.memory > part && outlook.running > 0 {
+    // A request larger than the share is admitted by an idle engine: no other engine would ever have
+    // more room for it.
+    if outlook.memory > share && outlook.running > 0 {
         return Err(Crowded::Memory);
     }
-    let reading = match asking.before {
-        0 => READING_FIRST,
-        _ => READING_REST,
+    let prefill = match asking.before {
+        0 => PREFILL_SHARE_URGENT,
+        _ => PREFILL_SHARE_OTHER,
     };
-    if outlook.before > asking.objective.mul_f64((reading + back).max(0.0)) {
+    if outlook.before > asking.objective.mul_f64((prefill + bonus).max(0.0)) {
         return Err(Crowded::Reading);
     }
     Ok(())
 }
 
-/// When callers of one entry are asked back.
+/// Computes retry delays for the rejected callers of one entry.
 #[derive(Debug, Default)]
 pub struct Comebacks {
-    // By service and urgency.
-    paces: HashMap<(Name, u32), Pace>,
+    // By service and the number of more urgent kinds.
+    paces: HashMap<(Name, u32), AdmissionPace>,
 }
 
-/// How quickly streams of one kind are taken in, and to whom that was promised.
+/// The rate of admissions of one kind of stream, and the retries scheduled within it.
 #[derive(Debug, Default)]
-struct Pace {
-    taken: Time,
-    // Seconds between two that were taken in.
+struct AdmissionPace {
+    last_admission: Time,
+    // Moving average of the seconds between admissions.
     interval: f64,
-    promises: Promises,
+    retries: Promises,
 }
 
 impl Comebacks {
-    /// Nobody was turned away.
+    /// Creates an instance without any admissions or rejections.
     pub fn new() -> Self {
         Comebacks::default()
     }
 
-    /// A stream was taken in.
+    /// Records an admission.
     pub fn taken(&mut self, now: Time, service: &Name, before: u32) {
         let pace = self.pace(service, before);
-        let passed = now.since(pace.taken).as_secs_f64();
-        pace.interval += NEW_WEIGHT * (passed.min(LONGEST_INTERVAL) - pace.interval);
-        pace.taken = now;
+        let elapsed = now.since(pace.last_admission).as_secs_f64();
+        pace.interval += INTERVAL_WEIGHT * (elapsed.min(MAX_INTERVAL) - pace.interval);
+        pace.last_admission = now;
     }
 
-    /// When a caller that is turned away and has `left` until its deadline should come back. One that can
-    /// still be in time is asked within its objective; one that cannot, when those before it are through.
+    /// The delay after which a rejected caller with `left` until its deadline should retry. One that can
+    /// still be in time is given a slot within its objective; otherwise the delay is near the longest that
+    /// callers heed. `jitter` is a random number from 0 to 1.
     pub fn pause(
         &mut self,
         now: Time,
         service: &Name,
         asking: &Asking,
         left: Duration,
-        spread: f64,
+        jitter: f64,
     ) -> Duration {
         let pace = self.pace(service, asking.before);
         let interval = Duration::from_secs_f64(pace.interval);
-        let promised = pace.promises.promise(now, SOONEST, interval);
-        let in_time = asking.objective.mul_f64(BACK_IN_TIME);
-        match promised <= in_time && asking.age.is_zero() {
-            true => promised.min(left / HEEDED),
-            false => (left / HEEDED).mul_f64(1.0 - spread / 4.0),
+        let slot = pace.retries.promise(now, MIN_DELAY, interval);
+        let in_time = asking.objective.mul_f64(RETRY_IN_TIME_SHARE);
+        match slot <= in_time && asking.age.is_zero() {
+            true => slot.min(left / HEEDED_DIVISOR),
+            false => (left / HEEDED_DIVISOR).mul_f64(1.0 - jitter / 4.0),
         }
     }
 
-    fn pace(&mut self, service: &Name, before: u32) -> &mut Pace {
+    fn pace(&mut self, service: &Name, before: u32) -> &mut AdmissionPace {
         self.paces.entry((service.clone(), before)).or_default()
     }
 }
--- a/lib/src/outcomes.rs
+++ b/lib/src/outcomes.rs
@@ -1,57 +1,57 @@
-//! The part of its requests that an engine has failed lately.
+//! The share of recent requests that an engine has failed.
 //!
-//! Load pattern: an engine is well by all that it reports and fails, or never begins, two of five requests.
-//! Each of ten entries sends it a request every few seconds: none sees enough of it to tell it from bad luck,
-//! and callers whose requests must not run twice lose theirs for as long as it lasts.
+//! Load pattern: a gray failure. An engine reports itself healthy, but fails or never begins two of five
+//! requests. Each of ten entries sends it one request every few seconds, so none of them sees enough
+//! requests to tell the failure from chance, and callers lose requests that must not run twice for as long
+//! as it lasts.
 //!
-//! So the scout beside the engine counts for all entries, and its report carries the share. Old evidence
-//! fades, so that an engine that is avoided is tried again after a while, at first by few.
+//! So the scout beside the engine counts for all entries, and its report carries the failure rate. Samples
+//! decay, so that an engine that is avoided is tried again after a while, at first with few requests.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Half of the evidence is forgotten in this time: two failures among four keep an engine avoided for some
-/// ten seconds.
+/// Half-life of a sample: an engine that failed two of four requests is avoided for about ten seconds.
 const HALF_LIFE: Duration = Duration::from_secs(6);
 
-/// Requests that are taken to have gone well before anything is known: one failure is bad luck.
-const TRUST: f64 = 2.0;
+/// Successes assumed as a prior, so that a single failure does not count as a high failure rate.
+const PRIOR_SUCCESSES: f64 = 2.0;
 
-/// How an engine's requests ended.
+/// Decaying counts of an engine's succeeded and failed requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcomes {
-    at: Time,
-    well: f64,
+    updated: Time,
+    succeeded: f64,
     failed: f64,
 }
 
 impl Outcomes {
-    /// Nothing has ended.
+    /// Creates empty counts.
     pub fn new() -> Self {
         Outcomes::default()
     }
 
-    /// A request has ended.
-    pub fn ended(&mut self, now: Time, well: bool) {
-        self.fade(now);
-        match well {
-            true => self.well += 1.0,
+    /// Records a request that ended.
+    pub fn ended(&mut self, now: Time, succeeded: bool) {
+        self.decay(now);
+        match succeeded {
+            true => self.succeeded += 1.0,
             false => self.failed += 1.0,
         }
     }
 
-    /// The part that failed, 0 to 1.
+    /// The share of requests that failed, from 0 to 1.
     pub fn failing(&mut self, now: Time) -> f64 {
-        self.fade(now);
-        self.failed / (self.failed + self.well + TRUST)
+        self.decay(now);
+        self.failed / (self.failed + self.succeeded + PRIOR_SUCCESSES)
     }
 
-    fn fade(&mut self, now: Time) {
-        let halves = now.since(self.at).as_secs_f64() / HALF_LIFE.as_secs_f64();
-        let kept = 0.5f64.powf(halves);
-        self.well *= kept;
+    fn decay(&mut self, now: Time) {
+        let half_lives = now.since(self.updated).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        let kept = 0.5f64.powf(half_lives);
+        self.succeeded *= kept;
         self.failed *= kept;
-        self.at = now;
+        self.updated = now;
     }
 }
--- a/lib/src/returns.rs
+++ b/lib/src/returns.rs
@@ -1,14 +1,15 @@
-//! Which callers were turned away a moment ago, and since when they wait.
+//! Recently rejected requests, by which retries are recognized and their waiting time is known.
 //!
-//! Load pattern: under a burst of some seconds every second caller was there before. A caller that is back
-//! within its objective has waited longer than a new one and can still be in time; one that is back too late
-//! cannot, and served before the new ones it makes them late in turn. At 6 times the usual load a third of
-//! what engines did went to callers that were late already.
+//! Load pattern: in a burst of some seconds, every second request is a retry. A caller that retries within
+//! its objective has waited longer than a new one and can still be in time. One that retries too late
+//! cannot, and served before new requests it makes them late in turn. At 6 times the usual load a third of
+//! the engines' work went to requests that were already late.
 //!
-//! A caller comes back with another identifier and through another entry, so that requests are told by what
-//! they ask: the entries of an availability zone tell each other the fingerprints of those that they turned
-//! away, and when these were asked back. Several callers may ask the same at a time: one that comes at
-//! another time than it was asked for counts as new, and each refusal is found once.
+//! A retry has a new identifier and may arrive at another entry, so requests are recognized by a
+//! fingerprint of their content: the entries of an availability zone send each other the fingerprints of
+//! the requests that they rejected, with the times at which these are due to be retried. Several callers
+//! may send the same request at a time. So a request that arrives at another time than the due time counts
+//! as new, and each rejection matches only one request.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -17,119 +18,126 @@
 use crate::time::Time;
 use crate::value_type;
 
-/// How much sooner or later than asked a caller comes: clocks of hosts run alike, and a connection takes up
-/// to a second where its first packet is lost.
-const EARLY: Duration = Duration::from_millis(60);
-const LATE: Duration = Duration::from_millis(1_000);
+/// How much sooner or later than its due time a retry may arrive. Host clocks run at nearly the same rate,
+/// and connecting takes up to a second if the first packet is lost.
+const MAX_EARLY: Duration = Duration::from_millis(60);
+const MAX_LATE: Duration = Duration::from_millis(1_000);
 
-/// Refusals that are remembered: those of 15 s, for which callers stay away at most, at 270 a second.
-const MOST: usize = 4_096;
+/// Maximum number of rejections kept: 270 per second over 15 s, the longest time until a retry.
+const CAPACITY: usize = 4_096;
 
-/// Requests that are told of in one word: it fits into a datagram.
-const MOST_TOLD: usize = 100;
+/// Maximum number of rejections in one message, so that it fits into a datagram. Any more are not sent.
+const MAX_PER_MESSAGE: usize = 100;
 
 value_type! {
-    /// A request that was turned away.
+    /// A rejected request, as sent to other entries.
     pub struct Return {
-        /// What tells it from others.
+        /// Fingerprint of the request's content.
         pub fingerprint: u64,
-        /// Milliseconds since its caller first asked.
+        /// Milliseconds since the caller's first attempt.
         pub waited: u32,
-        /// Milliseconds until it is asked back.
+        /// Milliseconds until the retry is due.
         pub away: u32,
     }
 }
 
-/// A caller that was turned away.
+/// The times of a rejected request.
 #[derive(Clone, Copy, Debug)]
-struct Away {
-    // When it first asked, and when it is asked back.
-    since: Time,
+struct Rejected {
+    first_attempt: Time,
+    // When the caller was told to retry.
     due: Time,
 }
 
-/// The requests that were turned away lately.
+/// The recently rejected requests that this entry knows of, its own and those of other entries.
 #[derive(Debug, Default)]
 pub struct Returns {
-    away: HashMap<u64, Vec<Away>>,
-    // In the order in which they were noted.
+    by_fingerprint: HashMap<u64, Vec<Rejected>>,
+    // Fingerprints in insertion order, for eviction.
     order: VecDeque<u64>,
-    // Those that others have not been told of.
-    untold: Vec<(u64, Away)>,
+    // Own rejections that have not been sent to other entries yet.
+    unsent: Vec<(u64, Rejected)>,
 }
 
 impl Returns {
-    /// Nobody was turned away.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Returns::default()
     }
 
-    /// A caller that first asked `age` ago was turned away here, and asked back after `pause`.
-    pub fn turned_away(&mut self, now: Time, fingerprint: u64, age: Duration, pause: Duration) {
-        let away = Away {
-            since: now.before(age),
-            due: now + pause,
+    /// Records a request that this entry rejected, `age` after its first attempt, and that is due to be retried
+    /// after `delay`.
+    pub fn turned_away(&mut self, now: Time, fingerprint: u64, age: Duration, delay: Duration) {
+        let rejected = Rejected {
+            first_attempt: now.before(age),
+            due: now + delay,
         };
-        self.note(fingerprint, away);
-        if self.untold.len() < MOST_TOLD {
-            self.untold.push((fingerprint, away));
+        self.insert(fingerprint, rejected);
+        if self.unsent.len() < MAX_PER_MESSAGE {
+            self.unsent.push((fingerprint, rejected));
         }
     }
 
-    /// Another entry has turned callers away.
-    pub fn heard(&mut self, now: Time, returns: &[Return]) {
-        for back in returns {
-            let away = Away {
-                since: now.before(Duration::from_millis(u64::from(back.waited))),
-                due: now + Duration::from_millis(u64::from(back.away)),
+    /// Adds the rejections received from another entry.
+    pub fn heard(&mut self, now: Time, received: &[Return]) {
+        for notice in received {
+            let rejected = Rejected {
+                first_attempt: now.before(Duration::from_millis(u64::from(notice.waited))),
+                due: now + Duration::from_millis(u64::from(notice.away)),
             };
-            self.note(back.fingerprint, away);
+            self.insert(notice.fingerprint, rejected);
         }
     }
 
-    /// How long ago the request's caller first asked, found once; zero for one that was not asked back now.
+    /// The time since the first attempt of this request if it is a retry that is due now, and zero otherwise.
+    /// Removes the rejection that it matches.
     pub fn take(&mut self, now: Time, fingerprint: u64) -> Duration {
-        let Some(all) = self.away.get_mut(&fingerprint) else {
+        let Some(same) = self.by_fingerprint.get_mut(&fingerprint) else {
             return Duration::ZERO;
         };
-        all.retain(|away| now < away.due + LATE);
-        let place = all.iter().position(|away| now + EARLY >= away.due);
-        let since = place.map(|place| all.remove(place).since);
-        if all.is_empty() {
-            self.away.remove(&fingerprint);
+        same.retain(|rejected| now < rejected.due + MAX_LATE);
+        let index = same
+            .iter()
+            .position(|rejected| now + MAX_EARLY >= rejected.due);
+        let first_attempt = index.map(|index| same.remove(index).first_attempt);
+        if same.is_empty() {
+            self.by_fingerprint.remove(&fingerprint);
         }
-        since.map_or(Duration::ZERO, |since| now.since(since))
+        first_attempt.map_or(Duration::ZERO, |at| now.since(at))
     }
 
-    /// What others are to be told of, once.
+    /// Removes and returns the rejections that have not been sent to other entries yet.
     pub fn take_untold(&mut self, now: Time) -> Vec<Return> {
-        let untold = std::mem::take(&mut self.untold).into_iter();
-        let told = untold.map(|(fingerprint, away)| Return {
+        let unsent = std::mem::take(&mut self.unsent).into_iter();
+        let notices = unsent.map(|(fingerprint, rejected)| Return {
             fingerprint,
-            waited: now.since(away.since).as_millis() as u32,
-            away: away.due.since(now).as_millis() as u32,
+            waited: now.since(rejected.first_attempt).as_millis() as u32,
+            away: rejected.due.since(now).as_millis() as u32,
         });
-        told.collect()
+        notices.collect()
     }
 
-    fn note(&mut self, fingerprint: u64, away: Away) {
-        self.away.entry(fingerprint).or_default().push(away);
+    fn insert(&mut self, fingerprint: u64, rejected: Rejected) {
+        self.by_fingerprint
+            .entry(fingerprint)
+            .or_default()
+            .push(rejected);
         self.order.push_back(fingerprint);
-        if self.order.len() > MOST
+        if self.order.len() > CAPACITY
             && let Some(oldest) = self.order.pop_front()
         {
-            self.forget_one(oldest);
+            self.evict_oldest(oldest);
         }
     }
 
-    /// Forgets the oldest refusal of a request, if it has not come back.
-    fn forget_one(&mut self, fingerprint: u64) {
-        let Some(all) = self.away.get_mut(&fingerprint) else {
+    /// Removes the oldest rejection with this fingerprint, if there is one left.
+    fn evict_oldest(&mut self, fingerprint: u64) {
+        let Some(same) = self.by_fingerprint.get_mut(&fingerprint) else {
             return;
         };
-        all.remove(0);
-        if all.is_empty() {
-            self.away.remove(&fingerprint);
+        same.remove(0);
+        if same.is_empty() {
+            self.by_fingerprint.remove(&fingerprint);
         }
     }
 }
