--- a/lib/tests/limiter.rs
+++ b/lib/tests/limiter.rs
@@ -1,4 +1,4 @@
-//! The limit on calls at a plain service.
+//! The adaptive concurrency limit on calls to a plain service.
 
 use std::time::Duration;
 
@@ -6,10 +6,11 @@
 use cicada_lib::limiter::LimiterSettings;
 use cicada_lib::time::Time;
 
-/// A service with `lanes` places, whose calls take `unhindered` and longer the more there are.
+/// A service that runs `lanes` calls in parallel at a latency of `baseline` microseconds. With more calls, the
+/// latency grows in proportion.
 struct Application {
     lanes: u32,
-    unhindered: f64,
+    baseline: f64,
 }
 
 struct Run {
@@ -18,7 +19,7 @@
     p99: f64,
 }
 
-/// Calls come every `gap` microseconds for `seconds`; what is over the limit is refused.
+/// Sends a call every `gap` microseconds for `seconds`; calls over the limit are rejected.
 fn run(app: &Application, limiter: &mut Limiter, from: Time, gap: u64, seconds: u64) -> Run {
     let mut ends: Vec<(u64, u64)> = Vec::new();
     let mut times = Vec::new();
@@ -31,8 +32,8 @@
             limiter.finished(Time::from_micros(done), Duration::from_micros(took), false);
         }
         if limiter.try_start() {
-            let crowd = f64::from(limiter.running()) / f64::from(app.lanes);
-            let took = (app.unhindered * crowd.max(1.0)) as u64;
+            let load = f64::from(limiter.running()) / f64::from(app.lanes);
+            let took = (app.baseline * load.max(1.0)) as u64;
             ends.push((at + took, took));
         }
     }
@@ -48,42 +49,41 @@
 
 #[test]
 fn an_overload_keeps_the_service_fast_and_busy() {
-    // Calls come at three times what the service can do. Without a limit each would take longer and
-    // longer until every caller has timed out; with it those that are let in take about as long as
-    // ever, and the service does as much as it can.
+    // The load is three times the capacity. Without a limit, latency would grow until every caller times
+    // out. With it, latency stays near the baseline and the service works at full capacity.
     let app = Application {
         lanes: 8,
-        unhindered: 20_000.0,
+        baseline: 20_000.0,
     };
     let mut limiter = Limiter::new(LimiterSettings::new());
     let run = run(&app, &mut limiter, Time::ZERO, 833, 60);
     let capacity = 8.0 / 0.020 * 60.0;
     assert!(run.p99 < 20.0 * 3.0, "p99 {} ms", run.p99);
     let share = f64::from(run.served) / capacity;
-    assert!(share > 0.9, "served {share} of what fits");
+    assert!(share > 0.9, "served {share} of the capacity");
 }
 
 #[test]
-fn a_release_that_is_slower_for_good_is_not_taken_for_load() {
+fn a_permanently_slower_release_is_not_mistaken_for_load() {
     let mut app = Application {
         lanes: 64,
-        unhindered: 20_000.0,
+        baseline: 20_000.0,
     };
     let mut limiter = Limiter::new(LimiterSettings::new());
     run(&app, &mut limiter, Time::ZERO, 1_000, 20);
-    app.unhindered = 60_000.0;
+    app.baseline = 60_000.0;
     let from = Time::from_millis(30_000);
     run(&app, &mut limiter, from, 1_000, 60);
     let after = run(&app, &mut limiter, Time::from_millis(100_000), 1_000, 20);
     let share = f64::from(after.served) / 20_000.0;
-    assert!(share > 0.9, "served {share} of what came");
+    assert!(share > 0.9, "served {share} of the calls");
 }
 
 #[test]
 fn an_idle_limit_does_not_grow() {
     let app = Application {
         lanes: 8,
-        unhindered: 10_000.0,
+        baseline: 10_000.0,
     };
     let mut limiter = Limiter::new(LimiterSettings::new());
     run(&app, &mut limiter, Time::ZERO, 10_000, 25);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn failures_shrink_the_limit_to_its_least() {
+fn failures_shrink_the_limit_to_its_minimum() {
     let mut limiter = Limiter::new(LimiterSettings::new().with_bounds(3, 100));
     for i in 0..2_000u64 {
         if limiter.try_start() {
--- a/lib/tests/outcome.rs
+++ b/lib/tests/outcome.rs
@@ -1,4 +1,4 @@
-//! Reasons and their codes.
+//! The codes of the reasons that belong to outcomes.
 
 use std::collections::HashSet;
 
--- a/lib/tests/outcomes.rs
+++ b/lib/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! How the requests of an engine that fails some of them are counted.
+//! The failure rate of an engine that fails some of its requests.
 
 use cicada_lib::outcomes::Outcomes;
 use cicada_lib::time::Time;
@@ -7,32 +7,33 @@
     Time::from_millis(ms)
 }
 
-/// Two of five requests fail, one request a second: after a few of them the engine counts as failing a fifth,
-/// at which others are chosen even where they are full or far. One that failed its first request does not.
+/// Two of five requests fail, at one request per second. After a few of them the failure rate exceeds a fifth,
+/// at which other engines are preferred even if they are full or far away. It stays low for an engine that
+/// failed only its first request.
 #[test]
-fn an_engine_that_fails_often_stands_out() {
-    let (mut bad, mut good) = (Outcomes::new(), Outcomes::new());
+fn frequent_failures_raise_the_rate() {
+    let (mut faulty, mut healthy) = (Outcomes::new(), Outcomes::new());
     for number in 0..10u64 {
-        bad.ended(millis(number * 1_000), number % 5 > 1);
-        good.ended(millis(number * 1_000), number != 0);
+        faulty.ended(millis(number * 1_000), number % 5 > 1);
+        healthy.ended(millis(number * 1_000), number != 0);
     }
     let now = millis(10_000);
-    assert!(bad.failing(now) > 0.2);
-    assert!(good.failing(now) < 0.05);
+    assert!(faulty.failing(now) > 0.2);
+    assert!(healthy.failing(now) < 0.05);
 }
 
-/// One failure of an engine of which nothing else is known is no reason to avoid it for long.
+/// A single failure of an engine without other samples must not cause it to be avoided for long.
 #[test]
-fn one_failure_is_bad_luck_and_fades() {
+fn a_single_failure_weighs_little_and_decays() {
     let mut one = Outcomes::new();
     one.ended(millis(0), false);
     assert!(one.failing(millis(0)) < 0.35);
     assert!(one.failing(millis(30_000)) < 0.03);
 }
 
-/// An engine that is well again is known to be after a few requests.
+/// A few successful requests bring down the failure rate of an engine that has recovered.
 #[test]
-fn an_engine_that_is_well_again_comes_back() {
+fn the_rate_falls_after_recovery() {
     let mut engine = Outcomes::new();
     for number in 0..6u64 {
         engine.ended(millis(number * 100), false);
--- a/lib/tests/patience.rs
+++ b/lib/tests/patience.rs
@@ -1,4 +1,4 @@
-//! The load of an engine that hangs, and of one that is crowded.
+//! Progress timeouts at an engine that hangs, and at one that is overloaded.
 
 use std::time::Duration;
 
@@ -7,30 +7,30 @@
 const OBJECTIVE: Duration = Duration::from_millis(1_500);
 const GAP: Duration = Duration::from_millis(180);
 
-/// An idle engine hangs: a second send begins while the objective can still be met.
+/// The first-event timeout of an idle engine that hangs leaves time for a second send to meet the objective.
 #[test]
-fn an_idle_engine_that_hangs_is_given_up_within_the_objective() {
+fn an_idle_engine_that_hangs_times_out_within_the_objective() {
     let wait = patience::first_event(OBJECTIVE, Duration::ZERO);
     assert!(
         wait > Duration::from_millis(300),
-        "a prompt is read in 0.3 s"
+        "a prompt is prefilled in 0.3 s"
     );
     assert!(wait <= OBJECTIVE / 2);
 }
 
-/// An engine reads the prompts of ten others first, which takes 3 s. What waits there makes progress, and
-/// is not sent elsewhere before that.
+/// An engine first prefills ten other prompts, which takes 3 s. A request that waits for them must not be
+/// sent to another engine before that.
 #[test]
-fn a_crowded_engine_is_not_taken_for_one_that_hangs() {
-    let reading = Duration::from_secs(3);
-    assert!(patience::first_event(OBJECTIVE, reading) > reading);
-    assert!(patience::next_event(GAP, reading) > reading);
+fn an_overloaded_engine_is_not_mistaken_for_a_hanging_one() {
+    let prefill = Duration::from_secs(3);
+    assert!(patience::first_event(OBJECTIVE, prefill) > prefill);
+    assert!(patience::next_event(GAP, prefill) > prefill);
 }
 
-/// Pauses of moves, up to 250 ms, and of displaced runs, up to 700 ms, are no hanging. Callers give up
-/// after eight pauses that they do not notice, or two seconds.
+/// Moved runs pause for up to 250 ms and preempted ones for up to 700 ms, which must not count as hanging.
+/// Callers give up after eight times the longest gap that they do not notice, or after two seconds.
 #[test]
-fn a_pause_of_a_moved_or_displaced_run_is_waited_for() {
+fn a_moved_or_preempted_run_does_not_time_out() {
     let wait = patience::next_event(GAP, Duration::ZERO);
     assert!(wait > Duration::from_millis(700));
     assert!(wait < Duration::from_secs(2));
--- a/lib/tests/retry_window.rs
+++ b/lib/tests/retry_window.rs
@@ -1,4 +1,4 @@
-//! Load pattern: a service fails every request for seconds, and all entries would send each once more.
+//! Load pattern: a service fails every request for some seconds, and all entries want to retry each of them.
 
 use std::time::Duration;
 
@@ -13,21 +13,22 @@
     window: Duration::from_secs(10),
 };
 
-/// Requests at each entry, in milliseconds from each to the next.
-fn repeats(entries: usize, pauses: &[u16]) -> (Vec<Time>, Vec<Time>) {
+/// Sends requests to the entries in turn, with these intervals in milliseconds, and tries to retry each one.
+/// Returns the times of the requests and of the retries.
+fn simulate(entries: usize, intervals: &[u16]) -> (Vec<Time>, Vec<Time>) {
     let mut windows: Vec<RetryWindow> = (0..entries).map(|_| RetryWindow::new(BOUND)).collect();
-    let (mut firsts, mut repeats) = (Vec::new(), Vec::new());
+    let (mut requests, mut retries) = (Vec::new(), Vec::new());
     let mut now = Time::from_millis(0);
-    for (number, pause) in pauses.iter().enumerate() {
-        now = now + Duration::from_millis(u64::from(*pause % 400));
+    for (number, interval) in intervals.iter().enumerate() {
+        now = now + Duration::from_millis(u64::from(*interval % 400));
         let window = &mut windows[number % entries];
         window.request(now);
-        firsts.push(now);
+        requests.push(now);
         if window.take(now, Some(entries), 0.0) {
-            repeats.push(now);
+            retries.push(now);
         }
     }
-    (firsts, repeats)
+    (requests, retries)
 }
 
 fn within(times: &[Time], end: Time) -> f64 {
@@ -39,13 +40,13 @@
 }
 
 #[test]
-fn all_entries_together_stay_within_the_bound_in_every_window() {
-    fn property(entries: u8, pauses: Vec<u16>) -> bool {
+fn all_entries_together_stay_within_the_limit_in_every_window() {
+    fn property(entries: u8, intervals: Vec<u16>) -> bool {
         let entries = usize::from(entries % 12) + 1;
-        let (firsts, repeats) = repeats(entries, &pauses);
-        repeats.iter().all(|end| {
-            let most = BOUND.ratio * within(&firsts, *end) + BOUND.slack;
-            within(&repeats, *end) <= most
+        let (requests, retries) = simulate(entries, &intervals);
+        retries.iter().all(|end| {
+            let limit = BOUND.ratio * within(&requests, *end) + BOUND.slack;
+            within(&retries, *end) <= limit
         })
     }
     QuickCheck::new()
@@ -54,27 +55,30 @@
 }
 
 #[test]
-fn most_of_the_bound_is_used_when_everything_fails() {
-    let pauses = vec![20; 2_000];
-    let (firsts, repeats) = repeats(5, &pauses);
-    let end = *firsts.last().unwrap();
-    let most = BOUND.ratio * within(&firsts, end) + BOUND.slack;
-    let used = within(&repeats, end);
-    assert!(used >= 0.7 * most, "{used} of {most}");
+fn most_of_the_limit_is_used_when_everything_fails() {
+    let intervals = vec![20; 2_000];
+    let (requests, retries) = simulate(5, &intervals);
+    let end = *requests.last().unwrap();
+    let limit = BOUND.ratio * within(&requests, end) + BOUND.slack;
+    let used = within(&retries, end);
+    assert!(used >= 0.7 * limit, "{used} of {limit}");
 }
 
 #[test]
-fn a_spare_part_is_left_for_others() {
+fn the_reserved_share_is_left_for_other_retries() {
     let mut window = RetryWindow::new(BOUND);
     let now = Time::from_millis(0);
-    let careful = (0..100).filter(|_| window.take(now, Some(1), 0.5)).count();
+    let reserving = (0..100).filter(|_| window.take(now, Some(1), 0.5)).count();
     let rest = (0..100).filter(|_| window.take(now, Some(1), 0.0)).count();
-    assert!(careful > 0 && rest >= careful - 1, "{careful} and {rest}");
+    assert!(
+        reserving > 0 && rest >= reserving - 1,
+        "{reserving} and {rest}"
+    );
 }
 
-/// Guards against an entry that takes the slack of all for its own before it knows the others.
+/// Guards against an entry that uses the whole slack before it knows of the other entries.
 #[test]
-fn an_entry_that_knows_no_others_has_no_part_of_the_slack() {
+fn an_entry_that_knows_no_others_has_no_share_of_the_slack() {
     let mut window = RetryWindow::new(BOUND);
     let now = Time::from_millis(1);
     (0..10).for_each(|_| window.request(now));
--- a/lib/tests/return_time.rs
+++ b/lib/tests/return_time.rs
@@ -1,5 +1,5 @@
-//! Load pattern: all engines are away, and come back one by one between 0.2 and 1.2 s after the first of
-//! ninety callers was turned away. Each caller asks twice at most.
+//! Load pattern: all engines are down, and come back one by one between 0.2 and 1.2 s after the first of
+//! ninety requests was rejected. Each caller tries at most twice.
 
 use std::time::Duration;
 
@@ -13,43 +13,43 @@
 /// Time from a caller's first attempt within which its first event counts as in time.
 const OBJECTIVE: Duration = Duration::from_millis(1_500);
 
-/// When the caller of this number asks, and when it comes back: all within the first 600 ms.
-fn visits() -> Vec<(Duration, Duration)> {
+/// First attempt and retry of each caller. All first attempts fall within 600 ms.
+fn attempts() -> Vec<(Duration, Duration)> {
     let numbers = 0..CALLERS;
-    let visits = numbers.map(|n| {
-        let asked = Duration::from_millis(u64::from(n * 600 / CALLERS));
-        // Numbers that follow each other are far apart.
-        let spread = f64::from(n * 37 % CALLERS) / f64::from(CALLERS);
-        (asked, asked + pause(TurnedAway::Unreached, LIMIT, spread))
+    let attempts = numbers.map(|n| {
+        let first = Duration::from_millis(u64::from(n * 600 / CALLERS));
+        // Consecutive callers get values that are far apart.
+        let jitter = f64::from(n * 37 % CALLERS) / f64::from(CALLERS);
+        (first, first + pause(TurnedAway::Unreached, LIMIT, jitter))
     });
-    visits.collect()
+    attempts.collect()
 }
 
 #[test]
-fn few_find_nobody_a_second_time() {
-    // The first tenth of the engines is back.
-    let first = Duration::from_millis(300);
-    let early = visits().iter().filter(|(_, back)| *back < first).count();
+fn few_retries_find_no_engine() {
+    // A tenth of the engines is back.
+    let tenth = Duration::from_millis(300);
+    let early = attempts().iter().filter(|(_, back)| *back < tenth).count();
     assert_eq!(early, 0);
-    // Half of them are.
+    // Half of them are back.
     let half = Duration::from_millis(700);
-    let early = visits().iter().filter(|(_, back)| *back < half).count();
-    assert!(early <= CALLERS as usize / 10, "{early} come too early");
+    let early = attempts().iter().filter(|(_, back)| *back < half).count();
+    assert!(early <= CALLERS as usize / 10, "{early} retry too early");
 }
 
 #[test]
-fn those_that_come_back_can_be_in_time() {
-    for (asked, back) in visits() {
-        assert!(back - asked < OBJECTIVE);
+fn retries_can_meet_the_objective() {
+    for (first, back) in attempts() {
+        assert!(back - first < OBJECTIVE);
     }
 }
 
 #[test]
-fn they_do_not_come_back_together() {
+fn retries_are_spread_over_time() {
     for step in 0..20 {
         let from = Duration::from_millis(step * 100);
         let until = from + Duration::from_millis(100);
-        let together = visits()
+        let together = attempts()
             .iter()
             .filter(|(_, b)| (from..until).contains(b))
             .count();
@@ -58,16 +58,16 @@
 }
 
 #[test]
-fn a_full_engine_is_worth_a_sooner_try() {
+fn a_full_engine_is_retried_sooner() {
     let full = pause(TurnedAway::Full, LIMIT, 0.9);
     assert!(full < pause(TurnedAway::Unreached, LIMIT, 0.0));
 }
 
 quickcheck! {
-    fn nobody_is_told_a_time_that_it_would_not_heed(left: u32, spread: f64) -> bool {
+    fn no_delay_is_longer_than_callers_heed(left: u32, jitter: f64) -> bool {
         let left = Duration::from_millis(u64::from(left));
         [TurnedAway::Full, TurnedAway::Unreached]
             .into_iter()
-            .all(|why| pause(why, left, if spread.is_nan() { 0.5 } else { spread }) <= left / 3)
+            .all(|cause| pause(cause, left, if jitter.is_nan() { 0.5 } else { jitter }) <= left / 3)
     }
 }
--- a/lib/tests/returns.rs
+++ b/lib/tests/returns.rs
@@ -1,4 +1,4 @@
-//! Callers that were turned away and come back through another entry.
+//! Recognition of rejected requests that are retried at another entry.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
     Time::from_millis(ms)
 }
 
-/// A caller is turned away by one entry and comes to another one, whose clock began elsewhere. It counts
-/// from when it first asked, also when it is turned away twice.
+/// A request is rejected by one entry and retried at another, whose clock has another origin. Its age counts
+/// from the first attempt, also after a second rejection.
 #[test]
-fn a_caller_that_comes_to_another_entry_is_known() {
+fn a_retry_at_another_entry_is_recognized() {
     let (mut one, mut other) = (Returns::new(), Returns::new());
     one.turned_away(millis(50_000), 7, Duration::ZERO, PAUSE);
-    let told = one.take_untold(millis(50_100));
+    let notices = one.take_untold(millis(50_100));
     assert!(one.take_untold(millis(50_200)).is_empty());
-    other.heard(millis(900_000), &told);
+    other.heard(millis(900_000), &notices);
     assert_eq!(other.take(millis(900_410), 8), Duration::ZERO);
     let age = other.take(millis(900_410), 7);
     assert_eq!(age, Duration::from_millis(510));
@@ -27,10 +27,10 @@
     assert_eq!(other.take(millis(900_910), 7), Duration::from_millis(1_010));
 }
 
-/// Many ask the same thing. Those that come while the one that was turned away stays away are new, and so
-/// are those that come after it: its refusal is found once.
+/// Several callers send the same request. One that arrives before the retry of the rejected caller is due
+/// counts as new, and so does one that arrives after it: a rejection matches once.
 #[test]
-fn others_who_ask_the_same_are_new() {
+fn identical_requests_of_other_callers_are_new() {
     let mut returns = Returns::new();
     returns.turned_away(millis(1_000), 7, Duration::ZERO, PAUSE);
     assert_eq!(returns.take(millis(1_200), 7), Duration::ZERO);
@@ -38,17 +38,17 @@
     assert_eq!(returns.take(millis(1_510), 7), Duration::ZERO);
 }
 
-/// A caller that never comes back is forgotten, and its refusal is nobody else's.
+/// The rejection of a caller that never retries expires, and is not matched by another caller's request.
 #[test]
-fn a_caller_that_stays_away_is_forgotten() {
+fn a_rejection_without_retry_expires() {
     let mut returns = Returns::new();
     returns.turned_away(millis(1_000), 7, Duration::ZERO, PAUSE);
     assert_eq!(returns.take(millis(5_000), 7), Duration::ZERO);
 }
 
-/// A burst of refusals lasts for minutes: what is remembered stays bounded, and the latest are known.
+/// During minutes of rejections, the number that is kept is bounded and the latest are kept.
 #[test]
-fn what_is_remembered_is_bounded() {
+fn the_number_of_kept_rejections_is_bounded() {
     let mut returns = Returns::new();
     for number in 0..100_000u64 {
         returns.turned_away(millis(number), number, Duration::ZERO, PAUSE);
