--- a/daemon/src/agent.rs
+++ b/daemon/src/agent.rs
@@ -14,8 +14,8 @@
 use cicada_lib::daemon_settings::Settings;
 use cicada_lib::engine_http::HttpEngine;
 use cicada_lib::http_client::HttpLimits;
+use cicada_lib::latency_objective::LatencyObjective;
 use cicada_lib::platform::Platform;
-use cicada_lib::preset::Preset;
 use cicada_lib::scheduler::Scheduler;
 use cicada_lib::service_http::HttpService;
 use cicada_lib::settings::SchedulerSettings;
@@ -159,13 +159,13 @@
 }
 
 fn scheduler(settings: &Settings) -> Scheduler {
-    let preset = match settings.text("backend", "objective") {
-        "gap" => Preset::Gap,
-        _ => Preset::Stall,
+    let objective = match settings.text("backend", "objective") {
+        "gap" => LatencyObjective::Gap,
+        _ => LatencyObjective::Stall,
     };
     let max_batch = settings.count("backend", "max_batch") as u32;
     // The engine's own report tells its memory; until it comes, nothing is planned for.
-    let scheduling = SchedulerSettings::new(preset, 0, max_batch)
+    let scheduling = SchedulerSettings::new(objective, 0, max_batch)
         .with_max_wait(settings.millis("backend", "max_wait"));
     Scheduler::new(scheduling)
 }
--- a/daemon/src/relay_role.rs
+++ b/daemon/src/relay_role.rs
@@ -7,7 +7,7 @@
 use cicada_lib::daemon_settings::Settings;
 use cicada_lib::fleet::Place;
 use cicada_lib::ids::Name;
-use cicada_lib::retry_window::RetryBound;
+use cicada_lib::retry_window::RetryLimit;
 use cicada_platform::HttpEngines;
 use cicada_platform::PlatformDialect;
 use cicada_platform::StoreDirectory;
@@ -120,7 +120,7 @@
 /// The settings that take effect while a relay runs.
 fn changing(settings: &Settings) -> Changing {
     Changing {
-        retries: RetryBound {
+        retries: RetryLimit {
             ratio: settings.number("relay", "retry_ratio"),
             slack: settings.number("relay", "retry_slack"),
             window: settings.seconds("relay", "retry_window"),
--- a/daemon/src/runs.rs
+++ b/daemon/src/runs.rs
@@ -244,7 +244,7 @@
         BackendError::Unreachable(_) => {
             Outcome::NotRun(NotRun::never_sent(RefusalReason::ConnectFailed))
         }
-        BackendError::Refused(_) => Outcome::NotRun(NotRun::backend_said(None)),
+        BackendError::Refused(_) => Outcome::NotRun(NotRun::refused_by_backend(None)),
         _ => Outcome::Failed(FailureReason::BackendError),
     }
 }
--- a/lib/benches/scheduler.rs
+++ b/lib/benches/scheduler.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cicada_lib::ids::Name;
-use cicada_lib::preset::Preset;
+use cicada_lib::latency_objective::LatencyObjective;
 use cicada_lib::scheduler::Action;
 use cicada_lib::scheduler::JobKey;
 use cicada_lib::scheduler::JobSpec;
@@ -34,7 +34,7 @@
 
 /// A scheduler with a full batch, and each workspace waiting.
 fn full(names: &[Name]) -> (Scheduler, Vec<JobKey>) {
-    let settings = SchedulerSettings::new(Preset::Stall, 1 << 16, BATCH);
+    let settings = SchedulerSettings::new(LatencyObjective::Stall, 1 << 16, BATCH);
     let settings = settings.with_max_wait(Duration::from_secs(600));
     let mut scheduler = Scheduler::new(settings);
     let mut running = Vec::new();
--- a/lib/examples/scheduler_trial.rs
+++ b/lib/examples/scheduler_trial.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use cicada_lib::ids::Name;
+use cicada_lib::latency_objective::LatencyObjective;
 use cicada_lib::memory_plan::Headroom;
-use cicada_lib::preset::Preset;
 use cicada_lib::scheduler::Scheduler;
 use cicada_lib::scheduler::SchedulerSettings;
 use cicada_lib::scheduler::WorkspacePolicy;
@@ -63,13 +63,13 @@
 const FIXED_HEADROOM: f64 = 0.2;
 
 fn front(rule: Rule, mix: &Mix) -> Front {
-    let preset = match rule {
+    let objective = match rule {
         Rule::Fifo => return Front::Direct,
-        Rule::Gap => Preset::Gap,
-        _ => Preset::Stall,
+        Rule::Gap => LatencyObjective::Gap,
+        _ => LatencyObjective::Stall,
     };
     let engine = &mix.engine;
-    let settings = SchedulerSettings::new(preset, engine.capacity, engine.max_batch as u32);
+    let settings = SchedulerSettings::new(objective, engine.capacity, engine.max_batch as u32);
     let settings = match rule {
         Rule::NoHeadroom => settings.with_headroom(Headroom::None),
         Rule::FixedHeadroom => settings.with_headroom(Headroom::Fixed(FIXED_HEADROOM)),
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -24,7 +24,7 @@
 
 /// The rate at which work leaves the queue, measured only while requests are waiting.
 #[derive(Clone, Debug, Default)]
-pub struct Drain {
+pub struct DrainRate {
     // Cost per second; `None` before the first full window.
     rate: Option<f64>,
     window_start: Time,
@@ -38,7 +38,7 @@
 /// The estimate covers only what waits now. It leaves out short jobs that will arrive later and start
 /// earlier, and the time that a job waits until it fits into memory.
 #[derive(Clone, Debug)]
-pub struct Correction {
+pub struct WaitCorrection {
     // Moving averages over recent starts, in seconds.
     expected: f64,
     actual: f64,
@@ -49,31 +49,31 @@
 /// Implemented as a generic cell rate algorithm: the only state is the time at which the next request
 /// would be on schedule, so there are no tokens to refill.
 #[derive(Clone, Debug, Default)]
-pub struct RateCeiling {
+pub struct RateLimiter {
     next: Time,
 }
 
 /// The work ahead of a request that is about to be queued.
 #[derive(Clone, Copy, Debug)]
-pub struct Queue {
+pub struct QueueAhead {
     /// Cost of all waiting requests that start earlier, over all workspaces.
     pub total: u64,
     /// The same for its own workspace, plus the service that the workspace has received ahead of others.
     pub own: u64,
     /// The share of the drain rate to which the workspace is entitled.
-    pub part: f64,
+    pub share: f64,
 }
 
-impl Default for Correction {
+impl Default for WaitCorrection {
     fn default() -> Self {
-        Correction {
+        WaitCorrection {
             expected: 1.0,
             actual: 1.0,
         }
     }
 }
 
-impl Correction {
+impl WaitCorrection {
     // Averages over about 64 starts.
     const SAMPLE_WEIGHT: f64 = 1.0 / 64.0;
     // A factor outside these bounds only shows that the load has changed.
@@ -86,16 +86,16 @@
     }
 
     /// The factor by which to multiply expected waits.
-    pub fn get(&self) -> f64 {
+    pub fn factor(&self) -> f64 {
         // Damps the ratio when waits are only a few steps long and say nothing about the queue.
         let damping = 0.1;
         ((self.actual + damping) / (self.expected + damping)).clamp(Self::BOUNDS.0, Self::BOUNDS.1)
     }
 }
 
-impl Drain {
+impl DrainRate {
     /// Adds the cost of completed work.
-    pub fn done(&mut self, cost: u64) {
+    pub fn record_completed(&mut self, cost: u64) {
         self.cost += cost;
     }
 
@@ -124,7 +124,7 @@
     }
 }
 
-impl RateCeiling {
+impl RateLimiter {
     /// Admits a request, or returns the time until the next one may be sent.
     pub fn take(&mut self, now: Time, rate: f64, burst: u32) -> Result<(), Duration> {
         if rate <= 0.0 {
@@ -147,12 +147,12 @@
     }
 }
 
-impl Queue {
+impl QueueAhead {
     /// The expected wait at a drain rate of `rate`. The workspace receives at least its share of the
     /// rate, and no request waits longer than all queued work takes.
     pub fn wait(&self, rate: f64) -> Duration {
         let total = self.total as f64 / rate;
-        let own = self.own as f64 / (rate * self.part.max(f64::MIN_POSITIVE));
+        let own = self.own as f64 / (rate * self.share.max(f64::MIN_POSITIVE));
         seconds(total.min(own))
     }
 }
@@ -162,15 +162,15 @@
 /// If all callers were given the same retry time, all but one would be rejected again. So each
 /// rejection reserves the next slot in a virtual queue that drains at the rate of the real one.
 #[derive(Clone, Debug, Default)]
-pub struct Promises {
+pub struct RetrySchedule {
     last: Time,
 }
 
-impl Promises {
+impl RetrySchedule {
     /// Reserves a retry slot and returns the time until it. `excess` is how far the expected wait
     /// exceeds the bound; `service` is the time that the request takes at the workspace's share of the
     /// drain rate.
-    pub fn promise(&mut self, now: Time, excess: Duration, service: Duration) -> Duration {
+    pub fn schedule(&mut self, now: Time, excess: Duration, service: Duration) -> Duration {
         let earliest = now + excess;
         self.last = self.last.max(earliest) + service;
         let after = self.last.since(now).clamp(MIN_RETRY, MAX_RETRY);
--- a/lib/src/batch.rs
+++ b/lib/src/batch.rs
@@ -7,9 +7,9 @@
 
 use crate::ids::Name;
 use crate::lengths::Expectation;
-use crate::memory_plan::Candidate;
 use crate::memory_plan::Footprint;
 use crate::memory_plan::MemoryPlan;
+use crate::memory_plan::VictimCandidate;
 use crate::scheduler::JobKey;
 use crate::shares::Account;
 use crate::shares::TOKEN;
@@ -210,10 +210,10 @@
         let candidate = |key: &JobKey| {
             let job = &jobs[*key];
             let tenant = &tenants[job.tenant];
-            Candidate {
-                lost: job.size(),
-                pauses: job.pauses,
-                over: holds_more(tenant.held, &tenant.account, self.held, shares),
+            VictimCandidate {
+                lost_tokens: job.size(),
+                preemptions: job.pauses,
+                over_share: holds_more(tenant.held, &tenant.account, self.held, shares),
             }
         };
         let index = self.plan.victim(live.iter().map(candidate))?;
--- a/lib/src/limiter.rs
+++ b/lib/src/concurrency_limiter.rs
@@ -44,7 +44,7 @@
 /// If a larger share of the calls in a window fails, the limit shrinks regardless of latency.
 const MAX_FAILED_SHARE: f64 = 0.2;
 
-/// Settings of a [`Limiter`].
+/// Settings of a [`ConcurrencyLimiter`].
 #[derive(Clone, Debug)]
 pub struct LimiterSettings {
     initial: f64,
@@ -96,7 +96,7 @@
 
 /// The limit on concurrent calls to one plain service.
 #[derive(Debug)]
-pub struct Limiter {
+pub struct ConcurrencyLimiter {
     settings: LimiterSettings,
     // Within the bounds of the settings.
     limit: f64,
@@ -119,10 +119,10 @@
     Measuring(f64),
 }
 
-impl Limiter {
+impl ConcurrencyLimiter {
     /// Creates a limiter at its initial limit.
     pub fn new(settings: LimiterSettings) -> Self {
-        Limiter {
+        ConcurrencyLimiter {
             limit: settings.initial.clamp(settings.min, settings.max),
             settings,
             running: 0,
@@ -134,7 +134,7 @@
     }
 
     /// Starts a call if the limit allows it. Every started call must be reported to
-    /// [`Limiter::finished`] or [`Limiter::cancelled`].
+    /// [`ConcurrencyLimiter::finished`] or [`ConcurrencyLimiter::cancelled`].
     pub fn try_start(&mut self) -> bool {
         if self.running >= self.limit() {
             return false;
--- a/lib/src/outcomes.rs
+++ b/lib/src/failure_rate.rs
@@ -20,20 +20,20 @@
 
 /// Decaying counts of an engine's succeeded and failed requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Outcomes {
+pub struct FailureRate {
     updated: Time,
     succeeded: f64,
     failed: f64,
 }
 
-impl Outcomes {
+impl FailureRate {
     /// Creates empty counts.
     pub fn new() -> Self {
-        Outcomes::default()
+        FailureRate::default()
     }
 
     /// Records a request that ended.
-    pub fn ended(&mut self, now: Time, succeeded: bool) {
+    pub fn record(&mut self, now: Time, succeeded: bool) {
         self.decay(now);
         match succeeded {
             true => self.succeeded += 1.0,
@@ -42,7 +42,7 @@
     }
 
     /// The share of requests that failed, from 0 to 1.
-    pub fn failing(&mut self, now: Time) -> f64 {
+    pub fn rate(&mut self, now: Time) -> f64 {
         self.decay(now);
         self.failed / (self.failed + self.succeeded + PRIOR_SUCCESSES)
     }
--- a/lib/src/preset.rs
+++ b/lib/src/latency_objective.rs
@@ -14,7 +14,7 @@
 copy_type! {
     /// The latency figure to which a deployment gives most weight.
     #[derive(Default)]
-    pub enum Preset {
+    pub enum LatencyObjective {
         /// The longest time that a caller waits without progress; used by Hanshan.
         #[default]
         Stall,
@@ -51,7 +51,7 @@
 
 /// Paces starts by the prompt tokens that the engine has to prefill for them.
 #[derive(Clone, Debug)]
-pub struct Pacer {
+pub struct PrefillPacer {
     // Prompt tokens per second; `None` disables pacing.
     rate: Option<f64>,
     next: Time,
@@ -96,10 +96,10 @@
     }
 }
 
-impl Pacer {
+impl PrefillPacer {
     /// Creates a pacer for `rate` prompt tokens per second; `None` disables pacing.
     pub fn new(rate: Option<f64>) -> Self {
-        Pacer {
+        PrefillPacer {
             rate,
             next: Time::ZERO,
         }
--- a/lib/src/memory_plan.rs
+++ b/lib/src/memory_plan.rs
@@ -44,13 +44,13 @@
 
 /// A run that could be preempted.
 #[derive(Clone, Copy, Debug)]
-pub struct Candidate {
+pub struct VictimCandidate {
     /// Tokens that would have to be recomputed.
-    pub lost: u64,
+    pub lost_tokens: u64,
     /// How often it has been preempted.
-    pub pauses: u32,
+    pub preemptions: u32,
     /// Whether its workspace holds more than its share of the memory.
-    pub over: bool,
+    pub over_share: bool,
 }
 
 /// The memory plan of one engine.
@@ -58,7 +58,7 @@
 pub struct MemoryPlan {
     capacity: u64,
     headroom: Headroom,
-    max_pauses: u32,
+    max_preemptions: u32,
 }
 
 /// Steps of the batch that must still fit. The order to preempt takes a step or two to reach the engine, and
@@ -67,11 +67,11 @@
 
 impl MemoryPlan {
     /// Creates a plan for `capacity` tokens; 0 disables it.
-    pub fn new(capacity: u64, headroom: Headroom, max_pauses: u32) -> Self {
+    pub fn new(capacity: u64, headroom: Headroom, max_preemptions: u32) -> Self {
         MemoryPlan {
             capacity,
             headroom,
-            max_pauses,
+            max_preemptions,
         }
     }
 
@@ -122,11 +122,11 @@
     /// Selects the run to preempt and returns its index. Runs of workspaces over their share come first, then
     /// those preempted least often, then those that lose the least work. Returns `None` if all of them have
     /// been preempted as often as allowed.
-    pub fn victim(&self, candidates: impl Iterator<Item = Candidate>) -> Option<usize> {
+    pub fn victim(&self, candidates: impl Iterator<Item = VictimCandidate>) -> Option<usize> {
         let eligible = candidates
             .enumerate()
-            .filter(|(_, c)| c.pauses < self.max_pauses);
-        let chosen = eligible.min_by_key(|(_, c)| (!c.over, c.pauses, c.lost));
+            .filter(|(_, c)| c.preemptions < self.max_preemptions);
+        let chosen = eligible.min_by_key(|(_, c)| (!c.over_share, c.preemptions, c.lost_tokens));
         chosen.map(|(index, _)| index)
     }
 }
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -205,7 +205,7 @@
     }
 
     /// Rejected by the backend server, with an answer that says that the request did not run.
-    pub fn backend_said(retry_after: Option<Duration>) -> Self {
+    pub fn refused_by_backend(retry_after: Option<Duration>) -> Self {
         NotRun::before_dispatch(RefusalReason::BackendRefused, retry_after)
     }
 
--- a/lib/src/peer_words.rs
+++ b/lib/src/peer_words.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 use crate::ids::Name;
-use crate::returns::Return;
+use crate::recent_rejections::RejectionNotice;
 use crate::revision::Revision;
 use crate::server_limit::LimitWord;
 use crate::site::ServerChanges;
@@ -202,7 +202,7 @@
         /// A relay says how a request ended at the scout's engine.
         Ended(RunEnded),
         /// A relay has turned callers away, who may come to another one.
-        TurnedAway(Vec<Return>),
+        TurnedAway(Vec<RejectionNotice>),
         /// A relay asks a scout for its engine's load.
         Ask(LoadAsk),
         /// A scout's answer.
--- a/lib/src/returns.rs
+++ b/lib/src/recent_rejections.rs
@@ -31,13 +31,13 @@
 
 value_type! {
     /// A rejected request, as sent to other entries.
-    pub struct Return {
+    pub struct RejectionNotice {
         /// Fingerprint of the request's content.
         pub fingerprint: u64,
         /// Milliseconds since the caller's first attempt.
         pub waited: u32,
         /// Milliseconds until the retry is due.
-        pub away: u32,
+        pub due_in: u32,
     }
 }
 
@@ -51,7 +51,7 @@
 
 /// The recently rejected requests that this entry knows of, its own and those of other entries.
 #[derive(Debug, Default)]
-pub struct Returns {
+pub struct RecentRejections {
     by_fingerprint: HashMap<u64, Vec<Rejected>>,
     // Fingerprints in insertion order, for eviction.
     order: VecDeque<u64>,
@@ -59,15 +59,15 @@
     unsent: Vec<(u64, Rejected)>,
 }
 
-impl Returns {
+impl RecentRejections {
     /// Creates an empty set.
     pub fn new() -> Self {
-        Returns::default()
+        RecentRejections::default()
     }
 
     /// Records a request that this entry rejected, `age` after its first attempt, and that is due to be retried
     /// after `delay`.
-    pub fn turned_away(&mut self, now: Time, fingerprint: u64, age: Duration, delay: Duration) {
+    pub fn record(&mut self, now: Time, fingerprint: u64, age: Duration, delay: Duration) {
         let rejected = Rejected {
             first_attempt: now.before(age),
             due: now + delay,
@@ -79,11 +79,11 @@
     }
 
     /// Adds the rejections received from another entry.
-    pub fn heard(&mut self, now: Time, received: &[Return]) {
+    pub fn merge(&mut self, now: Time, received: &[RejectionNotice]) {
         for notice in received {
             let rejected = Rejected {
                 first_attempt: now.before(Duration::from_millis(u64::from(notice.waited))),
-                due: now + Duration::from_millis(u64::from(notice.away)),
+                due: now + Duration::from_millis(u64::from(notice.due_in)),
             };
             self.insert(notice.fingerprint, rejected);
         }
@@ -107,12 +107,12 @@
     }
 
     /// Removes and returns the rejections that have not been sent to other entries yet.
-    pub fn take_untold(&mut self, now: Time) -> Vec<Return> {
+    pub fn take_unsent(&mut self, now: Time) -> Vec<RejectionNotice> {
         let unsent = std::mem::take(&mut self.unsent).into_iter();
-        let notices = unsent.map(|(fingerprint, rejected)| Return {
+        let notices = unsent.map(|(fingerprint, rejected)| RejectionNotice {
             fingerprint,
             waited: now.since(rejected.first_attempt).as_millis() as u32,
-            away: rejected.due.since(now).as_millis() as u32,
+            due_in: rejected.due.since(now).as_millis() as u32,
         });
         notices.collect()
     }
--- a/lib/src/return_time.rs
+++ b/lib/src/retry_after.rs
@@ -28,7 +28,7 @@
 
 copy_type! {
     /// Why a request was rejected.
-    pub enum TurnedAway {
+    pub enum RejectionCause {
         /// The chosen engine answered that it is full.
         Full,
         /// No engine could be reached.
@@ -43,13 +43,13 @@
 
 /// How long a caller with `left` until its deadline should wait before it retries. `jitter` is a random
 /// number from 0 to 1, drawn anew for each caller.
-pub fn pause(cause: TurnedAway, left: Duration, jitter: f64) -> Duration {
+pub fn delay(cause: RejectionCause, left: Duration, jitter: f64) -> Duration {
     let (min, max) = match cause {
-        TurnedAway::Full => FULL,
-        TurnedAway::Unreached => UNREACHED,
-        TurnedAway::Limited(wait) => (wait, wait * 2 + LIMITED_JITTER),
-        TurnedAway::NotAllowed => return left / HEEDED_DIVISOR,
+        RejectionCause::Full => FULL,
+        RejectionCause::Unreached => UNREACHED,
+        RejectionCause::Limited(wait) => (wait, wait * 2 + LIMITED_JITTER),
+        RejectionCause::NotAllowed => return left / HEEDED_DIVISOR,
     };
-    let delay = min + (max - min).mul_f64(jitter.clamp(0.0, 1.0));
-    delay.min(left / HEEDED_DIVISOR)
+    let jittered = min + (max - min).mul_f64(jitter.clamp(0.0, 1.0));
+    jittered.min(left / HEEDED_DIVISOR)
 }
--- a/lib/src/retry_budget.rs
+++ b/lib/src/retry_budget.rs
@@ -22,14 +22,14 @@
 
 /// Capacity and initial level of the bucket: about one batch, the requests that a single lost server hands
 /// back at once.
-pub const RETRY_RESERVE: f64 = 32.0;
+pub const RETRY_CAPACITY: f64 = 32.0;
 
 /// Retries earned per second, so that a service with few requests refills its bucket. At one per second, an
 /// entry with three requests per second would retry a third of them.
-pub const RETRY_TRICKLE: f64 = 0.1;
+pub const MIN_RETRY_RATE: f64 = 0.1;
 
 /// Capacity of the handover bucket: the queues of several servers that drain at the same time.
-pub const HANDOVER_RESERVE: f64 = 512.0;
+pub const HANDOVER_CAPACITY: f64 = 512.0;
 
 /// Handovers earned per second.
 pub const HANDOVER_RATE: f64 = 128.0;
@@ -42,8 +42,8 @@
 #[derive(Clone, Debug)]
 pub struct RetrySettings {
     share: f64,
-    reserve: f64,
-    trickle: f64,
+    capacity: f64,
+    min_rate: f64,
 }
 
 impl Default for RetrySettings {
@@ -57,8 +57,8 @@
     pub fn new() -> Self {
         RetrySettings {
             share: RETRY_SHARE,
-            reserve: RETRY_RESERVE,
-            trickle: RETRY_TRICKLE,
+            capacity: RETRY_CAPACITY,
+            min_rate: MIN_RETRY_RATE,
         }
     }
 
@@ -69,14 +69,14 @@
     }
 
     /// Sets the capacity of the bucket, from 1 to 10,000 retries.
-    pub fn with_reserve(mut self, retries: f64) -> Self {
-        self.reserve = retries.clamp(1.0, 10_000.0);
+    pub fn with_capacity(mut self, retries: f64) -> Self {
+        self.capacity = retries.clamp(1.0, 10_000.0);
         self
     }
 
     /// Sets the retries earned per second, from 0 to 100.
-    pub fn with_trickle(mut self, retries: f64) -> Self {
-        self.trickle = retries.clamp(0.0, 100.0);
+    pub fn with_min_rate(mut self, retries: f64) -> Self {
+        self.min_rate = retries.clamp(0.0, 100.0);
         self
     }
 }
@@ -90,7 +90,7 @@
     settings: RetrySettings,
     // From 0 to the capacity in the settings.
     level: f64,
-    // From 0 to `HANDOVER_RESERVE`.
+    // From 0 to `HANDOVER_CAPACITY`.
     handovers: f64,
     refilled: Time,
 }
@@ -99,17 +99,17 @@
     /// Creates a full budget.
     pub fn new(settings: RetrySettings, now: Time) -> Self {
         RetryBudget {
-            level: settings.reserve,
-            handovers: HANDOVER_RESERVE,
+            level: settings.capacity,
+            handovers: HANDOVER_CAPACITY,
             settings,
             refilled: now,
         }
     }
 
     /// Records a first attempt, which earns a share of a retry.
-    pub fn first_try(&mut self, now: Time) {
+    pub fn first_attempt(&mut self, now: Time) {
         self.refill(now);
-        self.level = (self.level + self.settings.share).min(self.settings.reserve);
+        self.level = (self.level + self.settings.share).min(self.settings.capacity);
     }
 
     /// Takes a retry from the budget and returns the backoff before it, or `None` if the budget is exhausted.
@@ -122,10 +122,10 @@
         self.refill(now);
         let fill_level = if adds_load(reason) {
             take_one(&mut self.level)?;
-            self.level / self.settings.reserve
+            self.level / self.settings.capacity
         } else {
             take_one(&mut self.handovers)?;
-            self.handovers / HANDOVER_RESERVE
+            self.handovers / HANDOVER_CAPACITY
         };
         let factor = 1.0 + (1.0 - fill_level) * (MAX_BACKOFF_FACTOR - 1.0);
         let max = max_backoff(reason).mul_f64(factor);
@@ -139,10 +139,10 @@
 
     fn refill(&mut self, now: Time) {
         let elapsed = now.since(self.refilled).as_secs_f64();
-        let level = self.level + elapsed * self.settings.trickle;
+        let level = self.level + elapsed * self.settings.min_rate;
         let handovers = self.handovers + elapsed * HANDOVER_RATE;
-        self.level = level.min(self.settings.reserve);
-        self.handovers = handovers.min(HANDOVER_RESERVE);
+        self.level = level.min(self.settings.capacity);
+        self.handovers = handovers.min(HANDOVER_CAPACITY);
         self.refilled = self.refilled.max(now);
     }
 }
--- a/lib/src/retry_window.rs
+++ b/lib/src/retry_window.rs
@@ -18,7 +18,7 @@
 
 /// The limit on the retries of all entries together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryBound {
+pub struct RetryLimit {
     /// Retries per request.
     pub ratio: f64,
     /// Additional retries per window.
@@ -30,7 +30,7 @@
 /// The requests and retries of one service at one entry.
 #[derive(Debug)]
 pub struct RetryWindow {
-    bound: RetryBound,
+    limit: RetryLimit,
     // Both in chronological order, with no entry older than the window.
     requests: VecDeque<Time>,
     retries: VecDeque<Time>,
@@ -38,16 +38,16 @@
 
 impl RetryWindow {
     /// Creates an empty window.
-    pub fn new(bound: RetryBound) -> Self {
+    pub fn new(limit: RetryLimit) -> Self {
         RetryWindow {
-            bound,
+            limit,
             requests: VecDeque::new(),
             retries: VecDeque::new(),
         }
     }
 
     /// Records a request for the service.
-    pub fn request(&mut self, now: Time) {
+    pub fn record_request(&mut self, now: Time) {
         self.trim(now);
         self.requests.push_back(now);
     }
@@ -55,10 +55,10 @@
     /// Takes one retry if the limit allows it, and returns whether it did. `entries` is the number of entries
     /// that share the slack; while it is unknown this entry has no part of the slack. `reserved`, from 0 to 1,
     /// is the share of the limit to leave for other retries.
-    pub fn take(&mut self, now: Time, entries: Option<usize>, reserved: f64) -> bool {
+    pub fn try_retry(&mut self, now: Time, entries: Option<usize>, reserved: f64) -> bool {
         self.trim(now);
-        let slack = entries.map_or(0.0, |entries| self.bound.slack / entries.max(1) as f64);
-        let limit = (self.bound.ratio * self.requests.len() as f64 + slack) * SAFETY_FACTOR;
+        let slack = entries.map_or(0.0, |entries| self.limit.slack / entries.max(1) as f64);
+        let limit = (self.limit.ratio * self.requests.len() as f64 + slack) * SAFETY_FACTOR;
         if self.retries.len() as f64 + 1.0 > limit * (1.0 - reserved) {
             return false;
         }
@@ -67,7 +67,7 @@
     }
 
     fn trim(&mut self, now: Time) {
-        let oldest = now.before(self.bound.window);
+        let oldest = now.before(self.limit.window);
         for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|at| *at < oldest) {
                 times.pop_front();
--- a/lib/src/router.rs
+++ b/lib/src/router.rs
@@ -189,7 +189,7 @@
         if ask.tried.is_empty()
             && let Some(service) = self.services.get_mut(ask.service)
         {
-            service.retries.first_try(now);
+            service.retries.first_attempt(now);
         }
     }
 
--- a/lib/src/scheduler.rs
+++ b/lib/src/scheduler.rs
@@ -5,8 +5,8 @@
 
 use slotmap::SlotMap;
 
-use crate::admission::Correction;
-use crate::admission::Drain;
+use crate::admission::DrainRate;
+use crate::admission::WaitCorrection;
 use crate::admission::seconds;
 use crate::backend::EngineLoad;
 use crate::batch::Batch;
@@ -14,13 +14,13 @@
 use crate::batch::State;
 use crate::batch::TokenGap;
 use crate::ids::Name;
+use crate::latency_objective::BatchCap;
+use crate::latency_objective::PrefillPacer;
 use crate::lengths::Lengths;
 use crate::load::LoadSummary;
 use crate::memory_plan::MemoryPlan;
 use crate::outcome::NotRun;
 use crate::outcome::RefusalReason;
-use crate::preset::BatchCap;
-use crate::preset::Pacer;
 pub use crate::settings::SchedulerSettings;
 pub use crate::settings::WorkspacePolicy;
 use crate::shares::Shares;
@@ -96,11 +96,11 @@
     pub(crate) queued: usize,
     pub(crate) bands: Bands,
     pub(crate) lengths: Lengths,
-    pub(crate) drain: Drain,
-    pub(crate) correction: Correction,
+    pub(crate) drain: DrainRate,
+    pub(crate) correction: WaitCorrection,
     pub(crate) gap: TokenGap,
     pub(crate) cap: BatchCap,
-    pub(crate) pacer: Pacer,
+    pub(crate) pacer: PrefillPacer,
     // The job that should start next but does not fit, and since when.
     pub(crate) blocked: Option<(JobKey, Time)>,
     // Whether something changed that could let a job start.
@@ -125,11 +125,11 @@
             queued: 0,
             bands: Bands::default(),
             lengths: Lengths::new(),
-            drain: Drain::default(),
-            correction: Correction::default(),
+            drain: DrainRate::default(),
+            correction: WaitCorrection::default(),
             gap: TokenGap::default(),
             cap: BatchCap::new(settings.max_batch, settings.gap_target),
-            pacer: Pacer::new(settings.prompt_rate),
+            pacer: PrefillPacer::new(settings.prompt_rate),
             blocked: None,
             changed: false,
             stuck: false,
@@ -220,7 +220,7 @@
         }
         self.shares
             .charge(job.tenant, &mut tenant.account, TOKEN, held);
-        self.drain.done(TOKEN);
+        self.drain.record_completed(TOKEN);
         if let Some(last) = job.last_token.replace(now) {
             let gap = now.since(last);
             self.gap.observe(gap);
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::figure_type;
+use crate::latency_objective::LatencyObjective;
 use crate::memory_plan::Headroom;
-use crate::preset::Preset;
 
 // The largest batch that a setting may ask for.
 const BATCH_LIMIT: u32 = 4_096;
@@ -50,7 +50,7 @@
 
     /// The settings of a [`Scheduler`](crate::scheduler::Scheduler).
     pub struct SchedulerSettings {
-        pub(crate) preset: Preset,
+        pub(crate) objective: LatencyObjective,
         // Zero: no memory plan.
         pub(crate) capacity_tokens: u64,
         pub(crate) max_batch: u32,
@@ -82,10 +82,10 @@
 impl SchedulerSettings {
     /// Settings for a backend server that runs `max_batch` requests at once (1 to 4,096) and holds
     /// `capacity_tokens` in memory (0 for a plain service).
-    pub fn new(preset: Preset, capacity_tokens: u64, max_batch: u32) -> Self {
-        let gap_first = preset == Preset::Gap;
+    pub fn new(objective: LatencyObjective, capacity_tokens: u64, max_batch: u32) -> Self {
+        let gap_first = objective == LatencyObjective::Gap;
         SchedulerSettings {
-            preset,
+            objective,
             capacity_tokens,
             max_batch: max_batch.clamp(1, BATCH_LIMIT),
             max_wait: if gap_first {
@@ -104,7 +104,7 @@
     }
 
     /// Refuses a request whose expected wait is longer (10 ms to 10 min, by default 4 s with
-    /// [`Preset::Stall`] and 8 s with [`Preset::Gap`]).
+    /// [`LatencyObjective::Stall`] and 8 s with [`LatencyObjective::Gap`]).
     pub fn with_max_wait(mut self, wait: Duration) -> Self {
         self.max_wait = wait.clamp(WAIT_BOUNDS.0, WAIT_BOUNDS.1);
         self
@@ -135,14 +135,14 @@
     }
 
     /// Caps the batch so that 95 in 100 gaps between tokens stay within `target` (1 ms to 10 s, by
-    /// default 41 ms with [`Preset::Gap`] and none with [`Preset::Stall`]).
+    /// default 41 ms with [`LatencyObjective::Gap`] and none with [`LatencyObjective::Stall`]).
     pub fn with_gap_target(mut self, target: Option<Duration>) -> Self {
         self.gap_target = target.map(|target| target.clamp(GAP_BOUNDS.0, GAP_BOUNDS.1));
         self
     }
 
     /// Spreads starts out so that they bring at most `rate` prompt tokens a second (at least 1; by
-    /// default 10,000 with [`Preset::Gap`] and none with [`Preset::Stall`]).
+    /// default 10,000 with [`LatencyObjective::Gap`] and none with [`LatencyObjective::Stall`]).
     pub fn with_prompt_rate(mut self, rate: Option<f64>) -> Self {
         self.prompt_rate = rate.map(|rate| rate.max(1.0));
         self
--- a/lib/src/starting.rs
+++ b/lib/src/starting.rs
@@ -153,7 +153,7 @@
         self.shares.hold(tenant, &mut entry.account, held);
         self.shares
             .charge(tenant, &mut entry.account, prompt_cost, 0);
-        self.drain.done(prompt_cost);
+        self.drain.record_completed(prompt_cost);
         self.relist(tenant);
     }
 
--- a/lib/src/intake.rs
+++ b/lib/src/stream_admission.rs
@@ -23,7 +23,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::admission::Promises;
+use crate::admission::RetrySchedule;
 use crate::copy_type;
 use crate::fleet::Fleet;
 use crate::fleet::Need;
@@ -82,45 +82,45 @@
 
 copy_type! {
     /// The resource for lack of which a stream is rejected.
-    pub enum Crowded {
+    pub enum Bottleneck {
         /// The expected peak does not fit into the engine's memory.
         Memory,
         /// The prompts queued ahead would take too long to prefill.
-        Reading,
+        Prefill,
         /// All slots of the engine are in use.
         Slots,
     }
 }
 
-impl Crowded {
+impl Bottleneck {
     /// The name used in logs and counters.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
-            Crowded::Memory => "memory",
-            Crowded::Reading => "reading",
-            Crowded::Slots => "slots",
+            Bottleneck::Memory => "memory",
+            Bottleneck::Prefill => "reading",
+            Bottleneck::Slots => "slots",
         }
     }
 }
 
 /// What the admission check knows about a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Asking {
+pub struct AdmissionRequest {
     /// The number of kinds of request of the service that are more urgent.
-    pub before: u32,
+    pub rank: u32,
     /// For a retry of a rejected request, the time since the first attempt; otherwise zero.
     pub age: Duration,
     /// Whether its workspace has recently used more than its share.
-    pub over: bool,
+    pub over_share: bool,
     /// The latency objective for the first event.
     pub objective: Duration,
 }
 
 /// Details of a rejected stream, for logs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TurnedAway {
+pub struct Rejection {
     /// The resource that it lacked.
-    pub why: Crowded,
+    pub bottleneck: Bottleneck,
     /// The engine that would have served it best.
     pub server: ServerKey,
     /// The load that it would have met there.
@@ -129,21 +129,21 @@
 
 /// Why no engine was selected for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NoPlace {
+pub enum AdmissionError {
     /// No server is eligible.
     NoServer(NoServer),
     /// All eligible engines are overloaded. Holds the details for the best of them.
-    Crowded(TurnedAway),
+    Rejected(Rejection),
 }
 
-/// Selects the best engine that passes [`judge`], among the first [`MAX_CHECKED`].
-pub fn place(
+/// Selects the best engine that passes [`check`], among the first [`MAX_CHECKED`].
+pub fn select_engine(
     fleet: &Fleet,
     now: Time,
     need: &Need<'_>,
     spec: &ServiceSpec,
-    asking: &Asking,
-) -> Result<ServerKey, NoPlace> {
+    request: &AdmissionRequest,
+) -> Result<ServerKey, AdmissionError> {
     let mut excluded = need.tried.to_vec();
     let mut rejected = None;
     for _ in 0..MAX_CHECKED {
@@ -153,57 +153,57 @@
         };
         let server = match fleet.choose(now, &need, spec) {
             Ok(server) => server,
-            Err(why) => return Err(rejected.unwrap_or(NoPlace::NoServer(why))),
+            Err(why) => return Err(rejected.unwrap_or(AdmissionError::NoServer(why))),
         };
         let outlook = fleet.outlook(now, server, &need, spec);
-        let Err(why) = judge(asking, &outlook) else {
+        let Err(bottleneck) = check(request, &outlook) else {
             return Ok(server);
         };
-        rejected.get_or_insert(NoPlace::Crowded(TurnedAway {
-            why,
+        rejected.get_or_insert(AdmissionError::Rejected(Rejection {
+            bottleneck,
             server,
             outlook,
         }));
         excluded.push(server);
     }
-    Err(rejected.unwrap_or(NoPlace::NoServer(NoServer::None)))
+    Err(rejected.unwrap_or(AdmissionError::NoServer(NoServer::None)))
 }
 
 /// Checks whether an engine with this outlook has room for the stream.
-pub fn judge(asking: &Asking, outlook: &Outlook) -> Result<(), Crowded> {
-    let reserve = f64::from(asking.before) * KIND_RESERVE;
-    let bonus = match asking.age + outlook.before + outlook.own {
-        _ if asking.age.is_zero() => 0.0,
-        begins if begins <= asking.objective => RETRY_BONUS,
+pub fn check(request: &AdmissionRequest, outlook: &Outlook) -> Result<(), Bottleneck> {
+    let reserve = f64::from(request.rank) * KIND_RESERVE;
+    let bonus = match request.age + outlook.before + outlook.own {
+        _ if request.age.is_zero() => 0.0,
+        begins if begins <= request.objective => RETRY_BONUS,
         _ => -LATE_RESERVE,
     };
-    let bonus = if asking.over {
+    let bonus = if request.over_share {
         bonus - OVER_SHARE_RESERVE
     } else {
         bonus
     };
     let share = (MEMORY_SHARE - reserve).max(MIN_MEMORY_SHARE) + bonus;
     if outlook.running >= outlook.slots {
-        return Err(Crowded::Slots);
+        return Err(Bottleneck::Slots);
     }
     // A request larger than the share is admitted by an idle engine: no other engine would ever have
     // more room for it.
     if outlook.memory > share && outlook.running > 0 {
-        return Err(Crowded::Memory);
+        return Err(Bottleneck::Memory);
     }
-    let prefill = match asking.before {
+    let prefill = match request.rank {
         0 => PREFILL_SHARE_URGENT,
         _ => PREFILL_SHARE_OTHER,
     };
-    if outlook.before > asking.objective.mul_f64((prefill + bonus).max(0.0)) {
-        return Err(Crowded::Reading);
+    if outlook.before > request.objective.mul_f64((prefill + bonus).max(0.0)) {
+        return Err(Bottleneck::Prefill);
     }
     Ok(())
 }
 
 /// Computes retry delays for the rejected callers of one entry.
 #[derive(Debug, Default)]
-pub struct Comebacks {
+pub struct RetryPacer {
     // By service and the number of more urgent kinds.
     paces: HashMap<(Name, u32), AdmissionPace>,
 }
@@ -214,18 +214,18 @@
     last_admission: Time,
     // Moving average of the seconds between admissions.
     interval: f64,
-    retries: Promises,
+    retries: RetrySchedule,
 }
 
-impl Comebacks {
+impl RetryPacer {
     /// Creates an instance without any admissions or rejections.
     pub fn new() -> Self {
-        Comebacks::default()
+        RetryPacer::default()
     }
 
     /// Records an admission.
-    pub fn taken(&mut self, now: Time, service: &Name, before: u32) {
-        let pace = self.pace(service, before);
+    pub fn record_admission(&mut self, now: Time, service: &Name, rank: u32) {
+        let pace = self.pace(service, rank);
         let elapsed = now.since(pace.last_admission).as_secs_f64();
         pace.interval += INTERVAL_WEIGHT * (elapsed.min(MAX_INTERVAL) - pace.interval);
         pace.last_admission = now;
@@ -234,25 +234,25 @@
     /// The delay after which a rejected caller with `left` until its deadline should retry. One that can
     /// still be in time is given a slot within its objective; otherwise the delay is near the longest that
     /// callers heed. `jitter` is a random number from 0 to 1.
-    pub fn pause(
+    pub fn retry_delay(
         &mut self,
         now: Time,
         service: &Name,
-        asking: &Asking,
+        request: &AdmissionRequest,
         left: Duration,
         jitter: f64,
     ) -> Duration {
-        let pace = self.pace(service, asking.before);
+        let pace = self.pace(service, request.rank);
         let interval = Duration::from_secs_f64(pace.interval);
-        let slot = pace.retries.promise(now, MIN_DELAY, interval);
-        let in_time = asking.objective.mul_f64(RETRY_IN_TIME_SHARE);
-        match slot <= in_time && asking.age.is_zero() {
+        let slot = pace.retries.schedule(now, MIN_DELAY, interval);
+        let in_time = request.objective.mul_f64(RETRY_IN_TIME_SHARE);
+        match slot <= in_time && request.age.is_zero() {
             true => slot.min(left / HEEDED_DIVISOR),
             false => (left / HEEDED_DIVISOR).mul_f64(1.0 - jitter / 4.0),
         }
     }
 
-    fn pace(&mut self, service: &Name, before: u32) -> &mut AdmissionPace {
-        self.paces.entry((service.clone(), before)).or_default()
+    fn pace(&mut self, service: &Name, rank: u32) -> &mut AdmissionPace {
+        self.paces.entry((service.clone(), rank)).or_default()
     }
 }
--- a/lib/src/tenants.rs
+++ b/lib/src/tenants.rs
@@ -14,8 +14,8 @@
 
 use slotmap::SlotMap;
 
-use crate::admission::Promises;
-use crate::admission::RateCeiling;
+use crate::admission::RateLimiter;
+use crate::admission::RetrySchedule;
 use crate::ids::Name;
 use crate::scheduler::JobKey;
 use crate::settings::WorkspacePolicy;
@@ -53,8 +53,8 @@
     pub(crate) running: u32,
     /// Tokens in the engine's memory.
     pub(crate) held: u64,
-    pub(crate) ceiling: RateCeiling,
-    pub(crate) promises: Promises,
+    pub(crate) ceiling: RateLimiter,
+    pub(crate) promises: RetrySchedule,
     // None while jobs are open.
     idle: Option<Time>,
     // Whether its share counts in `Tenants::active`.
@@ -111,8 +111,8 @@
             bands: Bands::default(),
             running: 0,
             held: 0,
-            ceiling: RateCeiling::default(),
-            promises: Promises::default(),
+            ceiling: RateLimiter::default(),
+            promises: RetrySchedule::default(),
             idle: None,
             active: false,
         }
--- a/lib/src/waiting.rs
+++ b/lib/src/waiting.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use crate::admission::Queue;
+use crate::admission::QueueAhead;
 use crate::admission::seconds;
 use crate::batch::Job;
 use crate::batch::State;
@@ -92,17 +92,17 @@
         }
         let rate = self.drain_rate();
         let wait = self.queue_before(job).wait(rate);
-        wait.mul_f64(self.correction.get() * (1.0 - self.free_part()))
+        wait.mul_f64(self.correction.factor() * (1.0 - self.free_part()))
     }
 
-    pub(crate) fn queue_before(&self, job: &Job) -> Queue {
+    pub(crate) fn queue_before(&self, job: &Job) -> QueueAhead {
         let tenant = &self.tenants[job.tenant];
         let own = tenant.bands.up_to(job.band);
         let longer = tenant.bands.total() - own;
-        Queue {
+        QueueAhead {
             total: self.bands.total() - longer,
             own: (own + job.next_cost()).saturating_add_signed(self.shares.lead(&tenant.account)),
-            part: self.part(job.tenant),
+            share: self.part(job.tenant),
         }
     }
 
@@ -166,7 +166,7 @@
         let rate = self.drain_rate();
         let service = seconds(job.cost as f64 / (rate * self.part(job.tenant)));
         let promises = &mut self.tenants[job.tenant].promises;
-        Some(promises.promise(now, excess, service))
+        Some(promises.schedule(now, excess, service))
     }
 
     pub(crate) fn enqueue(&mut self, tenant: TenantKey, job: Job) -> JobKey {
--- a/lib/tests/burst/mod.rs
+++ b/lib/tests/burst/mod.rs
@@ -15,17 +15,17 @@
 use cicada_lib::fleet::Need;
 use cicada_lib::fleet::Place;
 use cicada_lib::ids::Name;
-use cicada_lib::intake;
-use cicada_lib::intake::Asking;
-use cicada_lib::intake::Comebacks;
 use cicada_lib::move_plan;
 use cicada_lib::peer_words::EngineHere;
 use cicada_lib::peer_words::EngineLoad;
 use cicada_lib::peer_words::SentWord;
-use cicada_lib::returns::Returns;
+use cicada_lib::recent_rejections::RecentRejections;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::site::ServerChange;
 use cicada_lib::site::ServiceSpec;
+use cicada_lib::stream_admission;
+use cicada_lib::stream_admission::AdmissionRequest;
+use cicada_lib::stream_admission::RetryPacer;
 use cicada_lib::time::Time;
 use cicada_lib::workspace_use::WorkspaceUse;
 use testutils::site;
@@ -152,8 +152,8 @@
 
 struct Entry {
     fleet: Fleet,
-    comebacks: Comebacks,
-    returns: Returns,
+    comebacks: RetryPacer,
+    returns: RecentRejections,
     used: WorkspaceUse,
 }
 
@@ -207,8 +207,8 @@
     }
     Entry {
         fleet,
-        comebacks: Comebacks::new(),
-        returns: Returns::new(),
+        comebacks: RetryPacer::new(),
+        returns: RecentRejections::new(),
         used: WorkspaceUse::new(),
     }
 }
@@ -340,21 +340,21 @@
         let guess = caller.output as f64 * (self.rng.f64() * 2.0 - 1.0).exp();
         let need = Need::new(&service, caller.prompt, caller.prompt + guess as u64);
         let at = &mut self.entries[entry];
-        let asking = Asking {
-            before: kind.priority,
+        let asking = AdmissionRequest {
+            rank: kind.priority,
             age: at.returns.take(now, caller.number),
-            over: self.shares && at.used.is_over(now, &caller.workspace),
+            over_share: self.shares && at.used.is_over(now, &caller.workspace),
             objective: kind.objective,
         };
         let placed = match self.refuses {
-            true => intake::place(&at.fleet, now, &need, &spec(), &asking).ok(),
+            true => stream_admission::select_engine(&at.fleet, now, &need, &spec(), &asking).ok(),
             false => at.fleet.choose(now, &need, &spec()).ok(),
         };
         let Some(key) = placed else {
             self.refuse(entry, caller, &asking);
             return;
         };
-        at.comebacks.taken(now, &service, kind.priority);
+        at.comebacks.record_admission(now, &service, kind.priority);
         at.used.taken(now, &caller.workspace, need.tokens);
         at.fleet.started(now, key, &need);
         let engine = at.fleet.record(key).expect("chosen").address;
@@ -390,7 +390,7 @@
         caller.in_burst && !(self.greedy && caller.workspace.as_str() == "w-0")
     }
 
-    fn refuse(&mut self, entry: usize, caller: Caller, asking: &Asking) {
+    fn refuse(&mut self, entry: usize, caller: Caller, asking: &AdmissionRequest) {
         let now = Time::from_millis(self.now);
         let kind = KINDS[caller.kind];
         let passed = Duration::from_millis(self.now - caller.first);
@@ -398,9 +398,10 @@
         let spread = self.rng.f64();
         let at = &mut self.entries[entry];
         let service = Name::new("llm");
-        let pause = at.comebacks.pause(now, &service, asking, left, spread);
-        at.returns
-            .turned_away(now, caller.number, asking.age, pause);
+        let pause = at
+            .comebacks
+            .retry_delay(now, &service, asking, left, spread);
+        at.returns.record(now, caller.number, asking.age, pause);
         if caller.again {
             return;
         }
@@ -453,9 +454,9 @@
     fn tell_returns(&mut self) {
         let now = Time::from_millis(self.now);
         for entry in 0..ENTRIES {
-            let told = self.entries[entry].returns.take_untold(now);
+            let told = self.entries[entry].returns.take_unsent(now);
             for other in (0..ENTRIES).filter(|other| *other != entry) {
-                self.entries[other].returns.heard(now, &told);
+                self.entries[other].returns.merge(now, &told);
             }
         }
     }
--- a/lib/tests/claims.rs
+++ b/lib/tests/claims.rs
@@ -100,7 +100,9 @@
     let bench = Bench::new();
     let first = bench.process("first");
     let ticket = bench.ticket(&first, "deposit").await;
-    let released = first.release(ticket, &NotRun::backend_said(None)).await;
+    let released = first
+        .release(ticket, &NotRun::refused_by_backend(None))
+        .await;
     assert_eq!(released, Ok(()));
     bench.ticket(&bench.process("second"), "deposit").await;
 }
--- a/lib/tests/limiter.rs
+++ b/lib/tests/concurrency_limiter.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use cicada_lib::limiter::Limiter;
-use cicada_lib::limiter::LimiterSettings;
+use cicada_lib::concurrency_limiter::ConcurrencyLimiter;
+use cicada_lib::concurrency_limiter::LimiterSettings;
 use cicada_lib::time::Time;
 
 /// A service that runs `lanes` calls in parallel at a latency of `baseline` microseconds. With more calls, the
@@ -20,7 +20,13 @@
 }
 
 /// Sends a call every `gap` microseconds for `seconds`; calls over the limit are rejected.
-fn run(app: &Application, limiter: &mut Limiter, from: Time, gap: u64, seconds: u64) -> Run {
+fn run(
+    app: &Application,
+    limiter: &mut ConcurrencyLimiter,
+    from: Time,
+    gap: u64,
+    seconds: u64,
+) -> Run {
     let mut ends: Vec<(u64, u64)> = Vec::new();
     let mut times = Vec::new();
     let end = from.micros() + seconds * 1_000_000;
@@ -55,7 +61,7 @@
         lanes: 8,
         baseline: 20_000.0,
     };
-    let mut limiter = Limiter::new(LimiterSettings::new());
+    let mut limiter = ConcurrencyLimiter::new(LimiterSettings::new());
     let run = run(&app, &mut limiter, Time::ZERO, 833, 60);
     let capacity = 8.0 / 0.020 * 60.0;
     assert!(run.p99 < 20.0 * 3.0, "p99 {} ms", run.p99);
@@ -69,7 +75,7 @@
         lanes: 64,
         baseline: 20_000.0,
     };
-    let mut limiter = Limiter::new(LimiterSettings::new());
+    let mut limiter = ConcurrencyLimiter::new(LimiterSettings::new());
     run(&app, &mut limiter, Time::ZERO, 1_000, 20);
     app.baseline = 60_000.0;
     let from = Time::from_millis(30_000);
@@ -85,14 +91,14 @@
         lanes: 8,
         baseline: 10_000.0,
     };
-    let mut limiter = Limiter::new(LimiterSettings::new());
+    let mut limiter = ConcurrencyLimiter::new(LimiterSettings::new());
     run(&app, &mut limiter, Time::ZERO, 10_000, 25);
     assert!(limiter.limit() <= 16, "{}", limiter.limit());
 }
 
 #[test]
 fn failures_shrink_the_limit_to_its_minimum() {
-    let mut limiter = Limiter::new(LimiterSettings::new().with_bounds(3, 100));
+    let mut limiter = ConcurrencyLimiter::new(LimiterSettings::new().with_bounds(3, 100));
     for i in 0..2_000u64 {
         if limiter.try_start() {
             let now = Time::from_millis(i * 10);
--- a/lib/tests/return_time.rs
+++ b/lib/tests/retry_after.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use cicada_lib::return_time::TurnedAway;
-use cicada_lib::return_time::pause;
+use cicada_lib::retry_after::RejectionCause;
+use cicada_lib::retry_after::delay;
 use quickcheck::quickcheck;
 
 const CALLERS: u32 = 90;
@@ -20,7 +20,10 @@
         let first = Duration::from_millis(u64::from(n * 600 / CALLERS));
         // Consecutive callers get values that are far apart.
         let jitter = f64::from(n * 37 % CALLERS) / f64::from(CALLERS);
-        (first, first + pause(TurnedAway::Unreached, LIMIT, jitter))
+        (
+            first,
+            first + delay(RejectionCause::Unreached, LIMIT, jitter),
+        )
     });
     attempts.collect()
 }
@@ -59,15 +62,15 @@
 
 #[test]
 fn a_full_engine_is_retried_sooner() {
-    let full = pause(TurnedAway::Full, LIMIT, 0.9);
-    assert!(full < pause(TurnedAway::Unreached, LIMIT, 0.0));
+    let full = delay(RejectionCause::Full, LIMIT, 0.9);
+    assert!(full < delay(RejectionCause::Unreached, LIMIT, 0.0));
 }
 
 quickcheck! {
     fn no_delay_is_longer_than_callers_heed(left: u32, jitter: f64) -> bool {
         let left = Duration::from_millis(u64::from(left));
-        [TurnedAway::Full, TurnedAway::Unreached]
+        [RejectionCause::Full, RejectionCause::Unreached]
             .into_iter()
-            .all(|cause| pause(cause, left, if jitter.is_nan() { 0.5 } else { jitter }) <= left / 3)
+            .all(|cause| delay(cause, left, if jitter.is_nan() { 0.5 } else { jitter }) <= left / 3)
     }
 }
--- a/lib/tests/retry_window.rs
+++ b/lib/tests/retry_window.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use cicada_lib::retry_window::RetryBound;
+use cicada_lib::retry_window::RetryLimit;
 use cicada_lib::retry_window::RetryWindow;
 use cicada_lib::time::Time;
 use quickcheck::QuickCheck;
 
-const BOUND: RetryBound = RetryBound {
+const LIMIT: RetryLimit = RetryLimit {
     ratio: 0.2,
     slack: 56.0,
     window: Duration::from_secs(10),
@@ -16,15 +16,15 @@
 /// Sends requests to the entries in turn, with these intervals in milliseconds, and tries to retry each one.
 /// Returns the times of the requests and of the retries.
 fn simulate(entries: usize, intervals: &[u16]) -> (Vec<Time>, Vec<Time>) {
-    let mut windows: Vec<RetryWindow> = (0..entries).map(|_| RetryWindow::new(BOUND)).collect();
+    let mut windows: Vec<RetryWindow> = (0..entries).map(|_| RetryWindow::new(LIMIT)).collect();
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     let mut now = Time::from_millis(0);
     for (number, interval) in intervals.iter().enumerate() {
         now = now + Duration::from_millis(u64::from(*interval % 400));
         let window = &mut windows[number % entries];
-        window.request(now);
+        window.record_request(now);
         requests.push(now);
-        if window.take(now, Some(entries), 0.0) {
+        if window.try_retry(now, Some(entries), 0.0) {
             retries.push(now);
         }
     }
@@ -32,7 +32,7 @@
 }
 
 fn within(times: &[Time], end: Time) -> f64 {
-    let start = end.before(BOUND.window);
+    let start = end.before(LIMIT.window);
     times
         .iter()
         .filter(|at| **at >= start && **at <= end)
@@ -45,7 +45,7 @@
         let entries = usize::from(entries % 12) + 1;
         let (requests, retries) = simulate(entries, &intervals);
         retries.iter().all(|end| {
-            let limit = BOUND.ratio * within(&requests, *end) + BOUND.slack;
+            let limit = LIMIT.ratio * within(&requests, *end) + LIMIT.slack;
             within(&retries, *end) <= limit
         })
     }
@@ -59,17 +59,21 @@
     let intervals = vec![20; 2_000];
     let (requests, retries) = simulate(5, &intervals);
     let end = *requests.last().unwrap();
-    let limit = BOUND.ratio * within(&requests, end) + BOUND.slack;
+    let limit = LIMIT.ratio * within(&requests, end) + LIMIT.slack;
     let used = within(&retries, end);
     assert!(used >= 0.7 * limit, "{used} of {limit}");
 }
 
 #[test]
 fn the_reserved_share_is_left_for_other_retries() {
-    let mut window = RetryWindow::new(BOUND);
+    let mut window = RetryWindow::new(LIMIT);
     let now = Time::from_millis(0);
-    let reserving = (0..100).filter(|_| window.take(now, Some(1), 0.5)).count();
-    let rest = (0..100).filter(|_| window.take(now, Some(1), 0.0)).count();
+    let reserving = (0..100)
+        .filter(|_| window.try_retry(now, Some(1), 0.5))
+        .count();
+    let rest = (0..100)
+        .filter(|_| window.try_retry(now, Some(1), 0.0))
+        .count();
     assert!(
         reserving > 0 && rest >= reserving - 1,
         "{reserving} and {rest}"
@@ -79,9 +83,9 @@
 /// Guards against an entry that uses the whole slack before it knows of the other entries.
 #[test]
 fn an_entry_that_knows_no_others_has_no_share_of_the_slack() {
-    let mut window = RetryWindow::new(BOUND);
+    let mut window = RetryWindow::new(LIMIT);
     let now = Time::from_millis(1);
-    (0..10).for_each(|_| window.request(now));
-    let taken = (0..50).filter(|_| window.take(now, None, 0.0)).count();
+    (0..10).for_each(|_| window.record_request(now));
+    let taken = (0..50).filter(|_| window.try_retry(now, None, 0.0)).count();
     assert_eq!(taken, 1);
 }
--- a/lib/tests/scheduler.rs
+++ b/lib/tests/scheduler.rs
@@ -4,8 +4,8 @@
 
 use cicada_lib::backend::EngineLoad;
 use cicada_lib::ids::Name;
+use cicada_lib::latency_objective::LatencyObjective;
 use cicada_lib::outcome::RefusalReason;
-use cicada_lib::preset::Preset;
 use cicada_lib::scheduler::Action;
 use cicada_lib::scheduler::JobSpec;
 use cicada_lib::scheduler::Scheduler;
@@ -25,7 +25,11 @@
 }
 
 fn scheduler(max_batch: u32) -> Scheduler {
-    Scheduler::new(SchedulerSettings::new(Preset::Stall, 0, max_batch))
+    Scheduler::new(SchedulerSettings::new(
+        LatencyObjective::Stall,
+        0,
+        max_batch,
+    ))
 }
 
 #[test]
--- a/lib/tests/scheduler_load.rs
+++ b/lib/tests/scheduler_load.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use cicada_lib::ids::Name;
+use cicada_lib::latency_objective::LatencyObjective;
 use cicada_lib::outcome::RefusalReason;
-use cicada_lib::preset::Preset;
 use cicada_lib::scheduler::Scheduler;
 use cicada_lib::scheduler::SchedulerSettings;
 use cicada_lib::scheduler::WorkspacePolicy;
@@ -25,9 +25,9 @@
 const HANSHAN_RATE: f64 = 5.4;
 const SECONDS: u64 = 200;
 
-fn scheduled(mix: &Mix, preset: Preset) -> Front {
+fn scheduled(mix: &Mix, objective: LatencyObjective) -> Front {
     let engine = &mix.engine;
-    let settings = SchedulerSettings::new(preset, engine.capacity, engine.max_batch as u32);
+    let settings = SchedulerSettings::new(objective, engine.capacity, engine.max_batch as u32);
     let mut scheduler = Scheduler::new(settings);
     for tenant in &mix.tenants {
         let policy = WorkspacePolicy {
@@ -74,7 +74,7 @@
     draft.workspace = Name::new("batch");
     draft.deadline = None;
     requests.extend(vec![draft; 300]);
-    let trial = run(&mix, scheduled(&mix, Preset::Stall), requests);
+    let trial = run(&mix, scheduled(&mix, LatencyObjective::Stall), requests);
     let burst = |request: &Request| &*request.workspace.to_string() == "batch";
     let pairs = || trial.requests.iter().zip(&trial.received);
     let refused = pairs().filter(|(r, got)| burst(r) && got.refusal.is_some());
@@ -104,9 +104,12 @@
             .filter(|request| &*request.workspace.to_string() == "w1"),
     );
     let quiet = |request: &Request| &*request.workspace.to_string() != "w1";
-    let without = p99(&run(&mix, scheduled(&mix, Preset::Stall), usual), quiet);
+    let without = p99(
+        &run(&mix, scheduled(&mix, LatencyObjective::Stall), usual),
+        quiet,
+    );
     let with = p99(
-        &run(&mix, scheduled(&mix, Preset::Stall), hot.clone()),
+        &run(&mix, scheduled(&mix, LatencyObjective::Stall), hot.clone()),
         quiet,
     );
     let fifo = p99(&run(&mix, Front::Direct, hot), quiet);
@@ -119,7 +122,11 @@
 fn short_pass_long_and_long_are_not_starved() {
     let mix = hanshan();
     let requests = mix.requests(2.0 * HANSHAN_RATE, SECONDS as f64, 4);
-    let trial = run(&mix, scheduled(&mix, Preset::Stall), requests.clone());
+    let trial = run(
+        &mix,
+        scheduled(&mix, LatencyObjective::Stall),
+        requests.clone(),
+    );
     let fifo = run(&mix, Front::Direct, requests);
     let done = |trial: &Trial, long: bool| {
         let pairs = trial.requests.iter().zip(&trial.received);
@@ -150,9 +157,9 @@
         let trial = run(&mix, front, requests);
         figures(&mix, &trial)
     };
-    let usual = at(1.0, scheduled(&mix, Preset::Stall)).goodput;
+    let usual = at(1.0, scheduled(&mix, LatencyObjective::Stall)).goodput;
     for load in [1.5, 3.0, 10.0] {
-        let figures = at(load, scheduled(&mix, Preset::Stall));
+        let figures = at(load, scheduled(&mix, LatencyObjective::Stall));
         assert!(figures.goodput > 0.95 * usual, "{load}: {figures:?}");
         assert!(figures.preemptions < 100.0, "{load}: {figures:?}");
     }
@@ -171,7 +178,11 @@
             request.length = (request.length * 4).min(request.limit);
         }
     }
-    let trial = run(&mix, scheduled(&mix, Preset::Stall), requests.clone());
+    let trial = run(
+        &mix,
+        scheduled(&mix, LatencyObjective::Stall),
+        requests.clone(),
+    );
     let fifo = run(&mix, Front::Direct, requests);
     assert!(
         trial.preemptions * 5 < fifo.preemptions,
@@ -187,7 +198,11 @@
     let mut mix = hanshan();
     mix.engine.capacity = 12_000;
     let requests = mix.requests(HANSHAN_RATE, SECONDS as f64, 7);
-    let trial = run(&mix, scheduled(&mix, Preset::Stall), requests.clone());
+    let trial = run(
+        &mix,
+        scheduled(&mix, LatencyObjective::Stall),
+        requests.clone(),
+    );
     let most = trial
         .received
         .iter()
@@ -209,7 +224,7 @@
             request.tries = 1;
             request.deadline = None;
         }
-        let trial = run(&mix, scheduled(&mix, Preset::Stall), requests);
+        let trial = run(&mix, scheduled(&mix, LatencyObjective::Stall), requests);
         let returns: u32 = trial.received.iter().map(|received| received.returns).sum();
         let taken = trial.received.iter().map(|received| received.returns_taken);
         let taken: u32 = taken.sum();
@@ -226,7 +241,7 @@
     for request in requests.iter_mut().filter(|request| !is_long(request)) {
         request.deadline = Some(request.arrival + Duration::from_millis(1_500));
     }
-    let trial = run(&mix, scheduled(&mix, Preset::Stall), requests);
+    let trial = run(&mix, scheduled(&mix, LatencyObjective::Stall), requests);
     let refused = trial
         .received
         .iter()
@@ -253,13 +268,13 @@
     long.prompt = 1_000;
     requests.extend(vec![long; 30]);
     let burst = Time::from_millis(100_000);
-    let worst = |preset| {
-        let trial = run(&mix, scheduled(&mix, preset), requests.clone());
+    let worst = |objective| {
+        let trial = run(&mix, scheduled(&mix, objective), requests.clone());
         let pairs = trial.requests.iter().zip(&trial.received);
         let ran = pairs.filter(|(r, got)| r.arrival < burst && got.ended > Some(burst));
         let smooth = ran.filter(|(_, got)| got.preemptions == 0);
         smooth.map(|(_, got)| got.stall).max().unwrap()
     };
-    let (stall, gap) = (worst(Preset::Stall), worst(Preset::Gap));
+    let (stall, gap) = (worst(LatencyObjective::Stall), worst(LatencyObjective::Gap));
     assert!(gap * 3 < stall, "{gap:?} {stall:?}");
 }
--- a/lib/tests/scheduler_properties.rs
+++ b/lib/tests/scheduler_properties.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use cicada_lib::ids::Name;
+use cicada_lib::latency_objective::LatencyObjective;
 use cicada_lib::memory_plan::Footprint;
 use cicada_lib::memory_plan::Headroom;
 use cicada_lib::memory_plan::MemoryPlan;
-use cicada_lib::preset::Preset;
 use cicada_lib::scheduler::Action;
 use cicada_lib::scheduler::JobKey;
 use cicada_lib::scheduler::JobSpec;
@@ -39,7 +39,7 @@
 
 impl Slots {
     fn new(max_batch: u32) -> Self {
-        let settings = SchedulerSettings::new(Preset::Stall, 0, max_batch);
+        let settings = SchedulerSettings::new(LatencyObjective::Stall, 0, max_batch);
         Slots {
             scheduler: Scheduler::new(settings.with_max_wait(Duration::from_secs(600))),
             now: Time::ZERO,
--- a/lib/tests/scheduling_parts.rs
+++ b/lib/tests/scheduling_parts.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use cicada_lib::admission::Correction;
-use cicada_lib::admission::Promises;
-use cicada_lib::admission::RateCeiling;
+use cicada_lib::admission::RateLimiter;
+use cicada_lib::admission::RetrySchedule;
+use cicada_lib::admission::WaitCorrection;
 use cicada_lib::ids::Name;
+use cicada_lib::latency_objective::BatchCap;
 use cicada_lib::lengths::Lengths;
-use cicada_lib::memory_plan::Candidate;
 use cicada_lib::memory_plan::Headroom;
 use cicada_lib::memory_plan::MemoryPlan;
+use cicada_lib::memory_plan::VictimCandidate;
 use cicada_lib::order::MAX_DELAY;
 use cicada_lib::order::due;
-use cicada_lib::preset::BatchCap;
 use cicada_lib::time::Time;
 
 #[test]
@@ -60,7 +60,11 @@
 #[test]
 fn victim_loses_least_and_was_not_displaced_too_often() {
     let plan = MemoryPlan::new(100, Headroom::None, 2);
-    let candidate = |lost, pauses, over| Candidate { lost, pauses, over };
+    let candidate = |lost_tokens, preemptions, over_share| VictimCandidate {
+        lost_tokens,
+        preemptions,
+        over_share,
+    };
     let all = [
         candidate(1, 2, true),
         candidate(9, 0, true),
@@ -72,7 +76,7 @@
 
 #[test]
 fn rate_ceiling_says_when_the_next_may_come() {
-    let mut ceiling = RateCeiling::default();
+    let mut ceiling = RateLimiter::default();
     assert!(ceiling.take(Time::ZERO, 10.0, 2).is_ok());
     assert!(ceiling.take(Time::ZERO, 10.0, 2).is_ok());
     let after = ceiling.take(Time::ZERO, 10.0, 2).unwrap_err();
@@ -84,9 +88,9 @@
 
 #[test]
 fn promises_are_spread_out() {
-    let mut promises = Promises::default();
+    let mut promises = RetrySchedule::default();
     let (excess, service) = (Duration::from_secs(1), Duration::from_millis(500));
-    let mut promise = || promises.promise(Time::ZERO, excess, service);
+    let mut promise = || promises.schedule(Time::ZERO, excess, service);
     assert_eq!(promise(), Duration::from_millis(1_500));
     assert_eq!(promise(), Duration::from_millis(2_000));
     assert_eq!(promise(), Duration::from_millis(2_500));
@@ -134,13 +138,13 @@
 
 #[test]
 fn waits_that_turn_out_longer_raise_the_estimate() {
-    let mut correction = Correction::default();
+    let mut correction = WaitCorrection::default();
     for _ in 0..500 {
         correction.observe(Duration::from_secs(2), Duration::from_secs(5));
     }
     assert!(
-        (2.0..3.0).contains(&correction.get()),
+        (2.0..3.0).contains(&correction.factor()),
         "{}",
-        correction.get()
+        correction.factor()
     );
 }
--- a/lib/tests/intake.rs
+++ b/lib/tests/stream_admission.rs
@@ -4,10 +4,10 @@
 
 use cicada_lib::fleet::Outlook;
 use cicada_lib::ids::Name;
-use cicada_lib::intake;
-use cicada_lib::intake::Asking;
-use cicada_lib::intake::Comebacks;
-use cicada_lib::intake::Crowded;
+use cicada_lib::stream_admission;
+use cicada_lib::stream_admission::AdmissionRequest;
+use cicada_lib::stream_admission::Bottleneck;
+use cicada_lib::stream_admission::RetryPacer;
 use cicada_lib::time::Time;
 
 use burst::KINDS;
@@ -18,11 +18,11 @@
 const LOADS: [f64; 5] = [1.5, 2.0, 3.0, 4.0, 6.0];
 const SEEDS: [u64; 8] = [1, 2, 3, 4, 5, 6, 7, 8];
 
-fn request(before: u32, age: u64) -> Asking {
-    Asking {
-        before,
+fn request(rank: u32, age: u64) -> AdmissionRequest {
+    AdmissionRequest {
+        rank,
         age: Duration::from_millis(age),
-        over: false,
+        over_share: false,
         objective: Duration::from_millis(1_800),
     }
 }
@@ -133,19 +133,28 @@
 /// requests are rejected earlier than urgent ones.
 #[test]
 fn a_rejection_names_the_scarce_resource() {
-    assert_eq!(intake::judge(&request(0, 0), &outlook(0.9, 0, 400)), Ok(()));
-    let full = intake::judge(&request(0, 0), &outlook(1.1, 0, 400));
-    assert_eq!(full, Err(Crowded::Memory));
-    let late = intake::judge(&request(0, 0), &outlook(0.5, 1_500, 400));
-    assert_eq!(late, Err(Crowded::Reading));
+    assert_eq!(
+        stream_admission::check(&request(0, 0), &outlook(0.9, 0, 400)),
+        Ok(())
+    );
+    let full = stream_admission::check(&request(0, 0), &outlook(1.1, 0, 400));
+    assert_eq!(full, Err(Bottleneck::Memory));
+    let late = stream_admission::check(&request(0, 0), &outlook(0.5, 1_500, 400));
+    assert_eq!(late, Err(Bottleneck::Prefill));
     let most = Outlook {
         running: 64,
         ..outlook(0.5, 0, 400)
     };
-    assert_eq!(intake::judge(&request(0, 0), &most), Err(Crowded::Slots));
+    assert_eq!(
+        stream_admission::check(&request(0, 0), &most),
+        Err(Bottleneck::Slots)
+    );
     let nearly = outlook(0.92, 0, 400);
-    assert_eq!(intake::judge(&request(0, 0), &nearly), Ok(()));
-    assert_eq!(intake::judge(&request(1, 0), &nearly), Err(Crowded::Memory));
+    assert_eq!(stream_admission::check(&request(0, 0), &nearly), Ok(()));
+    assert_eq!(
+        stream_admission::check(&request(1, 0), &nearly),
+        Err(Bottleneck::Memory)
+    );
 }
 
 /// A prompt that takes most of the objective by itself is admitted, since no other engine would prefill it
@@ -153,14 +162,14 @@
 #[test]
 fn an_idle_engine_admits_large_requests() {
     assert_eq!(
-        intake::judge(&request(1, 0), &outlook(0.2, 0, 1_700)),
+        stream_admission::check(&request(1, 0), &outlook(0.2, 0, 1_700)),
         Ok(())
     );
     let alone = Outlook {
         running: 0,
         ..outlook(0.99, 0, 1_700)
     };
-    assert_eq!(intake::judge(&request(1, 0), &alone), Ok(()));
+    assert_eq!(stream_admission::check(&request(1, 0), &alone), Ok(()));
 }
 
 /// A retry that can still be in time takes precedence over a new request, and one that is already late comes
@@ -168,13 +177,16 @@
 #[test]
 fn a_retry_in_time_takes_precedence() {
     let nearly = outlook(0.9, 100, 400);
-    assert_eq!(intake::judge(&request(1, 0), &nearly), Err(Crowded::Memory));
-    assert_eq!(intake::judge(&request(1, 800), &nearly), Ok(()));
+    assert_eq!(
+        stream_admission::check(&request(1, 0), &nearly),
+        Err(Bottleneck::Memory)
+    );
+    assert_eq!(stream_admission::check(&request(1, 800), &nearly), Ok(()));
     let half = outlook(0.8, 0, 400);
-    assert_eq!(intake::judge(&request(1, 0), &half), Ok(()));
+    assert_eq!(stream_admission::check(&request(1, 0), &half), Ok(()));
     assert_eq!(
-        intake::judge(&request(1, 5_000), &half),
-        Err(Crowded::Memory)
+        stream_admission::check(&request(1, 5_000), &half),
+        Err(Bottleneck::Memory)
     );
 }
 
@@ -184,27 +196,27 @@
 #[test]
 fn retries_are_spread_over_time() {
     let service = Name::new("llm");
-    let mut comebacks = Comebacks::new();
+    let mut pacer = RetryPacer::new();
     // One admission every 200 ms.
     for number in 1..100 {
-        comebacks.taken(Time::from_millis(number * 200), &service, 1);
+        pacer.record_admission(Time::from_millis(number * 200), &service, 1);
     }
     let now = Time::from_millis(20_000);
     let left = Duration::from_secs(39);
-    let pauses: Vec<Duration> = (0..20)
-        .map(|_| comebacks.pause(now, &service, &request(1, 0), left, 0.5))
+    let delays: Vec<Duration> = (0..20)
+        .map(|_| pacer.retry_delay(now, &service, &request(1, 0), left, 0.5))
         .collect();
     let in_time = Duration::from_millis(1_000);
-    let soon: Vec<&Duration> = pauses.iter().filter(|pause| **pause <= in_time).collect();
-    assert!((3..=5).contains(&soon.len()), "{pauses:?}");
+    let soon: Vec<&Duration> = delays.iter().filter(|delay| **delay <= in_time).collect();
+    assert!((3..=5).contains(&soon.len()), "{delays:?}");
     assert!(
         soon.windows(2)
             .all(|two| *two[1] >= *two[0] + Duration::from_millis(150))
     );
-    assert!(pauses.iter().all(|pause| *pause <= left / 3), "{pauses:?}");
+    assert!(delays.iter().all(|delay| *delay <= left / 3), "{delays:?}");
     assert!(
-        pauses[10..]
+        delays[10..]
             .iter()
-            .all(|pause| *pause > Duration::from_secs(2))
+            .all(|delay| *delay > Duration::from_secs(2))
     );
 }
--- a/relay/src/attempts.rs
+++ b/relay/src/attempts.rs
@@ -6,10 +6,10 @@
 use cicada_lib::fleet::Exclusion;
 use cicada_lib::fleet::Need;
 use cicada_lib::fleet::NoServer;
-use cicada_lib::intake::Asking;
-use cicada_lib::intake::NoPlace;
-use cicada_lib::return_time::TurnedAway;
+use cicada_lib::retry_after::RejectionCause;
 use cicada_lib::routing::ServerKey;
+use cicada_lib::stream_admission::AdmissionError;
+use cicada_lib::stream_admission::AdmissionRequest;
 
 use crate::choice;
 use crate::exchange::Call;
@@ -80,13 +80,13 @@
     }
 
     /// Why the caller is turned away, where servers are there that may not have the request.
-    pub(crate) fn turned_away(&self) -> Option<TurnedAway> {
+    pub(crate) fn turned_away(&self) -> Option<RejectionCause> {
         let NoServer::Excluded(why) = self.lacking()? else {
             return None;
         };
         match why {
-            Exclusion::Evacuated | Exclusion::Region => Some(TurnedAway::NotAllowed),
-            Exclusion::Limited => self.unlimited.map(TurnedAway::Limited),
+            Exclusion::Evacuated | Exclusion::Region => Some(RejectionCause::NotAllowed),
+            Exclusion::Limited => self.unlimited.map(RejectionCause::Limited),
             Exclusion::Cold => None,
         }
     }
@@ -103,10 +103,10 @@
         relay: &Arc<Relay>,
         call: &Call,
         tokens: u64,
-        asking: Option<&Asking>,
-    ) -> Result<Placed, NoPlace> {
+        asking: Option<&AdmissionRequest>,
+    ) -> Result<Placed, AdmissionError> {
         if self.chosen >= MOST_SERVERS || call.left().is_zero() {
-            return Err(NoPlace::NoServer(NoServer::None));
+            return Err(AdmissionError::NoServer(NoServer::None));
         }
         self.chosen += 1;
         let others: Vec<ServerKey> = self.tried.iter().chain(&self.failed).copied().collect();
@@ -119,12 +119,12 @@
         };
         let id = call.head.id.as_ref();
         let placed = match choice::place(relay, id, &need(&others), &call.spec, asking).await {
-            Err(NoPlace::NoServer(_)) => {
+            Err(AdmissionError::NoServer(_)) => {
                 choice::place(relay, id, &need(&self.tried), &call.spec, asking).await
             }
             placed => placed,
         };
-        if let Err(NoPlace::NoServer(why)) = &placed {
+        if let Err(AdmissionError::NoServer(why)) = &placed {
             self.lacking = Some(*why);
             self.unlimited = relay.until_unlimited(&need(&self.tried), &call.spec);
         }
--- a/relay/src/choice.rs
+++ b/relay/src/choice.rs
@@ -6,14 +6,14 @@
 
 use cicada_lib::fleet::Need;
 use cicada_lib::ids::Name;
-use cicada_lib::intake::Asking;
-use cicada_lib::intake::NoPlace;
 use cicada_lib::peer_words::LoadAsk;
 use cicada_lib::placement;
 use cicada_lib::placement::Round;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::site::ServerRecord;
 use cicada_lib::site::ServiceSpec;
+use cicada_lib::stream_admission::AdmissionError;
+use cicada_lib::stream_admission::AdmissionRequest;
 
 use crate::placed::Placed;
 use crate::relay::Relay;
@@ -25,8 +25,8 @@
     id: Option<&Name>,
     need: &Need<'_>,
     spec: &ServiceSpec,
-    asking: Option<&Asking>,
-) -> Result<Placed, NoPlace> {
+    asking: Option<&AdmissionRequest>,
+) -> Result<Placed, AdmissionError> {
     let Some(id) = id.filter(|_| probes_for(relay, need)) else {
         return relay.place(need, spec, asking);
     };
@@ -50,16 +50,16 @@
         };
         match relay.place(&next, spec, asking) {
             Ok(placed) => return Ok(placed.with_asked(asked.len(), answered.len())),
-            Err(NoPlace::Crowded(crowded)) => {
+            Err(AdmissionError::Rejected(crowded)) => {
                 turned.get_or_insert(crowded);
             }
-            Err(NoPlace::NoServer(_)) => {}
+            Err(AdmissionError::NoServer(_)) => {}
         }
         // A scout that has just begun has not looked at its engine yet, and answers the next time.
         tried.extend(answered);
     }
     match turned {
-        Some(crowded) => Err(NoPlace::Crowded(crowded)),
+        Some(crowded) => Err(AdmissionError::Rejected(crowded)),
         // Those that were sampled have all left; the others are still there.
         None => relay.place(need, spec, asking),
     }
--- a/relay/src/peer_net.rs
+++ b/relay/src/peer_net.rs
@@ -199,7 +199,7 @@
     /// Tells the relays of the zone whom this one has turned away: they come to these.
     async fn tell_refusals(&self) {
         let now = self.relay.now();
-        let returns = self.relay.returns().take_untold(now);
+        let returns = self.relay.returns().take_unsent(now);
         if !returns.is_empty() {
             self.tell_zone(&Datagram::TurnedAway(returns)).await;
         }
@@ -293,7 +293,7 @@
             }
             Ok(Datagram::TurnedAway(returns)) => {
                 let now = self.relay.now();
-                self.relay.returns().heard(now, &returns);
+                self.relay.returns().merge(now, &returns);
             }
             Ok(Datagram::News(news)) => self.relay.news(&news),
             Ok(Datagram::Sent(word)) => self.relay.sent_elsewhere(&word),
--- a/relay/src/plain.rs
+++ b/relay/src/plain.rs
@@ -9,7 +9,7 @@
 use bytes::BytesMut;
 use cicada_lib::dialect::Dispatch;
 use cicada_lib::fleet::Fleet;
-use cicada_lib::return_time;
+use cicada_lib::retry_after;
 use http::HeaderMap;
 use http::Response;
 use http::StatusCode;
@@ -119,7 +119,7 @@
         return whole.response();
     }
     let pause = match attempts.turned_away() {
-        Some(why) => return_time::pause(why, call.left(), fastrand::f64()),
+        Some(why) => retry_after::delay(why, call.left(), fastrand::f64()),
         None => come_back(call),
     };
     conclude(relay, call, &attempts, pause)
--- a/relay/src/relay.rs
+++ b/relay/src/relay.rs
@@ -14,19 +14,19 @@
 use cicada_lib::dialect::EngineCalls;
 use cicada_lib::fleet::Fleet;
 use cicada_lib::ids::Name;
-use cicada_lib::intake::Comebacks;
 use cicada_lib::peer_words::LoadAsk;
 use cicada_lib::peer_words::MovedRun;
 use cicada_lib::peer_words::RunEnded;
 use cicada_lib::peer_words::SentWord;
 use cicada_lib::peer_words::ServerNews;
+use cicada_lib::recent_rejections::RecentRejections;
 use cicada_lib::residency::AllowedRegions;
 use cicada_lib::retry_window::RetryWindow;
-use cicada_lib::returns::Returns;
 use cicada_lib::revision::Revision;
 use cicada_lib::revision::SeenEra;
 use cicada_lib::route_table::RouteTable;
 use cicada_lib::standstill::Standstill;
+use cicada_lib::stream_admission::RetryPacer;
 use cicada_lib::time::Clock;
 use cicada_lib::time::Time;
 use cicada_lib::workspace_use::WorkspaceUse;
@@ -90,8 +90,8 @@
     pub(crate) table: ArcSwap<RouteTable>,
     pub(crate) fleet: Mutex<Fleet>,
     pub(crate) retries: Mutex<HashMap<Name, RetryWindow>>,
-    pub(crate) comebacks: Mutex<Comebacks>,
-    pub(crate) returns: Mutex<Returns>,
+    pub(crate) comebacks: Mutex<RetryPacer>,
+    pub(crate) returns: Mutex<RecentRejections>,
     // By service.
     pub(crate) used: Mutex<HashMap<Name, WorkspaceUse>>,
     // Whether the list of servers has been read once.
--- a/relay/src/relay_places.rs
+++ b/relay/src/relay_places.rs
@@ -8,17 +8,17 @@
 use cicada_lib::fleet::Need;
 use cicada_lib::fleet::NoServer;
 use cicada_lib::ids::Name;
-use cicada_lib::intake;
-use cicada_lib::intake::Asking;
-use cicada_lib::intake::NoPlace;
 use cicada_lib::peer_words::EngineHere;
 use cicada_lib::peer_words::RunEnded;
 use cicada_lib::peer_words::SentWord;
+use cicada_lib::recent_rejections::RecentRejections;
 use cicada_lib::residency::ANY_REGION;
 use cicada_lib::retry_window::RetryWindow;
-use cicada_lib::returns::Returns;
 use cicada_lib::server_limit::RequestRate;
 use cicada_lib::site::ServiceSpec;
+use cicada_lib::stream_admission;
+use cicada_lib::stream_admission::AdmissionError;
+use cicada_lib::stream_admission::AdmissionRequest;
 
 use crate::lock::lock;
 use crate::placed::Basis;
@@ -33,16 +33,18 @@
         self: &Arc<Self>,
         need: &Need<'_>,
         spec: &ServiceSpec,
-        asking: Option<&Asking>,
-    ) -> Result<Placed, NoPlace> {
+        asking: Option<&AdmissionRequest>,
+    ) -> Result<Placed, AdmissionError> {
         let now = self.now();
         let mut fleet = self.fleet();
         let key = match asking {
-            Some(asking) => intake::place(&fleet, now, need, spec, asking)?,
-            None => fleet.choose(now, need, spec).map_err(NoPlace::NoServer)?,
+            Some(asking) => stream_admission::select_engine(&fleet, now, need, spec, asking)?,
+            None => fleet
+                .choose(now, need, spec)
+                .map_err(AdmissionError::NoServer)?,
         };
         let record = fleet.record(key).cloned();
-        let record = record.ok_or(NoPlace::NoServer(NoServer::None))?;
+        let record = record.ok_or(AdmissionError::NoServer(NoServer::None))?;
         let (used, age) = fleet.load(now, key);
         let basis = Basis {
             used,
@@ -52,7 +54,7 @@
             ..Basis::default()
         };
         if let Some(asking) = asking {
-            lock(&self.comebacks).taken(now, need.service, asking.before);
+            lock(&self.comebacks).record_admission(now, need.service, asking.rank);
         }
         fleet.started(now, key, need);
         let basis = Basis {
@@ -64,7 +66,7 @@
     }
 
     /// The requests that were turned away lately. Held for microseconds.
-    pub(crate) fn returns(&self) -> MutexGuard<'_, Returns> {
+    pub(crate) fn returns(&self) -> MutexGuard<'_, RecentRejections> {
         lock(&self.returns)
     }
 
@@ -91,23 +93,28 @@
     }
 
     /// When a caller that was turned away is asked back.
-    pub(crate) fn comeback(&self, service: &Name, asking: &Asking, left: Duration) -> Duration {
+    pub(crate) fn comeback(
+        &self,
+        service: &Name,
+        asking: &AdmissionRequest,
+        left: Duration,
+    ) -> Duration {
         let now = self.now();
         let mut comebacks = lock(&self.comebacks);
-        comebacks.pause(now, service, asking, left, fastrand::f64())
+        comebacks.retry_delay(now, service, asking, left, fastrand::f64())
     }
 
     /// Counts a request for a service.
     pub(crate) fn count_request(&self, service: &Name) {
         let now = self.now();
-        self.with_retries(service, |window| window.request(now));
+        self.with_retries(service, |window| window.record_request(now));
     }
 
     /// Takes one further send for a service from the shared bound.
     pub(crate) fn take_retry(&self, service: &Name, spare: f64) -> bool {
         let now = self.now();
         let entries = self.fleet().entries().count();
-        self.with_retries(service, |window| window.take(now, entries, spare))
+        self.with_retries(service, |window| window.try_retry(now, entries, spare))
     }
 
     fn with_retries<T>(&self, service: &Name, action: impl FnOnce(&mut RetryWindow) -> T) -> T {
--- a/relay/src/relay_settings.rs
+++ b/relay/src/relay_settings.rs
@@ -5,7 +5,7 @@
 
 use cicada_lib::fleet::Place;
 use cicada_lib::ids::Name;
-use cicada_lib::retry_window::RetryBound;
+use cicada_lib::retry_window::RetryLimit;
 
 /// What an entry is told by its settings.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Changing {
     /// The bound of further sends, for all entries together.
-    pub retries: RetryBound,
+    pub retries: RetryLimit,
     /// From SIGTERM to the end by force.
     pub grace: Duration,
     /// What the relay does of itself.
--- a/relay/src/scout.rs
+++ b/relay/src/scout.rs
@@ -13,8 +13,8 @@
 use cicada_lib::dialect::EngineCalls;
 use cicada_lib::dialect::EngineReport;
 use cicada_lib::engine_ledger::EngineLedger;
+use cicada_lib::failure_rate::FailureRate;
 use cicada_lib::ids::Name;
-use cicada_lib::outcomes::Outcomes;
 use cicada_lib::peer_words;
 use cicada_lib::peer_words::Datagram;
 use cicada_lib::peer_words::EngineHere;
@@ -92,7 +92,7 @@
     pub(crate) evacuating: Option<watch::Sender<EngineReport>>,
     pub(crate) identity: Identity,
     pub(crate) ledger: EngineLedger,
-    pub(crate) outcomes: Outcomes,
+    pub(crate) outcomes: FailureRate,
     pub(crate) cold: ColdState,
     // How long the engine is cold after a start, as relays tell.
     pub(crate) cold_period: Duration,
@@ -131,7 +131,7 @@
             evacuating: None,
             identity: Identity::new(),
             ledger: EngineLedger::new(),
-            outcomes: Outcomes::new(),
+            outcomes: FailureRate::new(),
             cold: ColdState::default(),
             cold_period: Duration::ZERO,
             heard: now,
@@ -181,7 +181,7 @@
                 self.heard = Instant::now();
             }
             Ok(Datagram::Ended(word)) if word.engine == self.here.address => {
-                self.outcomes.ended(self.clock.now(), word.well);
+                self.outcomes.record(self.clock.now(), word.well);
             }
             Ok(Datagram::Ask(ask)) if ask.engine == self.here.address => {
                 self.answer(from, ask).await;
--- a/relay/src/scout_reports.rs
+++ b/relay/src/scout_reports.rs
@@ -86,7 +86,7 @@
                 unread: plan.unread,
                 reads: (self.ledger.reading_rate() * 10.0) as u32,
                 capacity: report.capacity,
-                failing: (self.outcomes.failing(now) * 100.0) as u8,
+                failing: (self.outcomes.rate(now) * 100.0) as u8,
                 leaving: report.leaving,
                 leaves: report.leaves.map(|time| time.as_millis() as u32),
                 cold: self.cold.left(now, self.cold_period).as_millis() as u32,
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -8,13 +8,13 @@
 use cicada_lib::dialect::RunMemory;
 use cicada_lib::fleet::Fleet;
 use cicada_lib::ids::Name;
-use cicada_lib::intake;
-use cicada_lib::intake::Asking;
-use cicada_lib::intake::NoPlace;
 use cicada_lib::move_plan;
-use cicada_lib::patience;
-use cicada_lib::return_time;
-use cicada_lib::return_time::TurnedAway;
+use cicada_lib::progress_timeout;
+use cicada_lib::retry_after;
+use cicada_lib::retry_after::RejectionCause;
+use cicada_lib::stream_admission;
+use cicada_lib::stream_admission::AdmissionError;
+use cicada_lib::stream_admission::AdmissionRequest;
 use http::Response;
 use http::response::Parts;
 use http_body_util::BodyExt;
@@ -80,7 +80,7 @@
                 relay.note_taken(&call.service, call.admitted.workspace.as_ref(), tokens);
                 placed
             }
-            Err(NoPlace::Crowded(turned)) if attempts.sent() == 0 => {
+            Err(AdmissionError::Rejected(turned)) if attempts.sent() == 0 => {
                 return turn_away(relay, &call, &asking, &turned);
             }
             Err(_) => break,
@@ -128,20 +128,20 @@
         return response;
     }
     let why = match (attempts.refused(), attempts.turned_away()) {
-        (true, _) => TurnedAway::Full,
+        (true, _) => RejectionCause::Full,
         (false, Some(why)) => why,
-        (false, None) => TurnedAway::Unreached,
+        (false, None) => RejectionCause::Unreached,
     };
-    let pause = return_time::pause(why, call.left(), fastrand::f64());
+    let pause = retry_after::delay(why, call.left(), fastrand::f64());
     conclude(relay, &call, &attempts, pause)
 }
 
-fn asking(relay: &Relay, call: &Call) -> Asking {
+fn asking(relay: &Relay, call: &Call) -> AdmissionRequest {
     let route = &call.admitted.route;
-    Asking {
-        before: relay.table().more_urgent(&call.service, route),
+    AdmissionRequest {
+        rank: relay.table().more_urgent(&call.service, route),
         age: age(relay, call),
-        over: relay.is_over(&call.service, call.admitted.workspace.as_ref()),
+        over_share: relay.is_over(&call.service, call.admitted.workspace.as_ref()),
         objective: route.objective,
     }
 }
@@ -158,24 +158,24 @@
 fn turn_away(
     relay: &Relay,
     call: &Call,
-    asking: &Asking,
-    turned: &intake::TurnedAway,
+    asking: &AdmissionRequest,
+    turned: &stream_admission::Rejection,
 ) -> Response<AnswerBody> {
     let pause = relay.comeback(&call.service, asking, call.left());
     let now = relay.now();
     relay
         .returns()
-        .turned_away(now, call.fingerprint(), asking.age, pause);
-    let (why, outlook) = (turned.why.word(), &turned.outlook);
+        .record(now, call.fingerprint(), asking.age, pause);
+    let (why, outlook) = (turned.bottleneck.name(), &turned.outlook);
     let (_, age) = relay.fleet().load(relay.now(), turned.server);
     relay.figures().refusal(why);
     relay.figures().answer("not_run");
     tracing::info!(
         id = call.id(),
         why,
-        before = asking.before,
+        before = asking.rank,
         waited = asking.age.as_millis() as u64,
-        over = asking.over,
+        over = asking.over_share,
         memory = percent(outlook.memory),
         running = outlook.running,
         reading = outlook.before.as_millis() as u64,
@@ -212,7 +212,7 @@
 
 /// How long the first event is awaited before the engine counts as making no progress.
 fn first_wait(call: &Call, placed: &Placed) -> Duration {
-    patience::first_event(call.admitted.route.objective, placed.reading())
+    progress_timeout::first_event(call.admitted.route.objective, placed.reading())
 }
 
 /// Waits for the outcome of a send, and notes where it has not come at `wait`. An engine that hangs is known
--- a/relay/src/stream_run.rs
+++ b/relay/src/stream_run.rs
@@ -9,7 +9,7 @@
 use cicada_lib::dialect::Copied;
 use cicada_lib::dialect::MoveError;
 use cicada_lib::dialect::MoveStep;
-use cicada_lib::patience;
+use cicada_lib::progress_timeout;
 use cicada_lib::routing::ServerKey;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -270,8 +270,8 @@
         let route = &self.call.admitted.route;
         let reading = self.placed.reading();
         Some(match self.latest > self.begun {
-            true => self.latest + patience::next_event(route.gap, reading),
-            false => self.begun + patience::first_event(route.objective, reading),
+            true => self.latest + progress_timeout::next_event(route.gap, reading),
+            false => self.begun + progress_timeout::first_event(route.objective, reading),
         })
     }
 
