--- a/lib/src/retry_after.rs
+++ b/lib/src/retry_after.rs
@@ -5,7 +5,8 @@
 //! them try at most twice. Told the same time, they all retry together. Told too late a time, their first
 //! event misses its objective although engines have been idle for a second.
 //!
-//! So the delay depends on why the request was rejected, with a jitter of at least the shortest delay.
+//! So the delay depends on why the request was rejected, and is drawn from a range that is at least as wide as
+//! its shortest delay.
 
 use std::time::Duration;
 
