--- a/lib/src/cold_start.rs
+++ b/lib/src/cold_start.rs
@@ -1,11 +1,11 @@
-//! Cold-start admission: how many requests an entry sends to a backend server that is cold.
+//! Cold-start admission: limits how many requests an entry sends to a backend server that has just started.
 //!
-//! Load pattern: the servers of a zone come back together, cold and emptier than all others, into a burst. Every
-//! entry prefers them at once, and a cold server crashes when more requests arrive in a second than it tolerates.
+//! Load pattern: the servers of a zone restart together during a burst, cold and less loaded than all others. Every
+//! entry prefers them at once, and a cold server crashes if more requests arrive per second than it tolerates.
 //!
-//! So each entry keeps to a fixed share of the tolerated rate, see `entry_shares`. Where the rate is below one request
-//! a second for each entry, only the entries that are drawn for the server send there. An entry that does not know
-//! the others yet sends none.
+//! So each entry keeps to a fixed share of the tolerated rate, see `entry_shares`. If the rate is below one request
+//! per second and entry, only the entries drawn for the server send to it. An entry that does not know the other
+//! entries yet sends nothing.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -15,77 +15,77 @@
 use crate::figure_type;
 use crate::time::Time;
 
-/// The time in which sends are counted: a second, and the time by which one may arrive sooner than another after it
-/// was sent.
+/// Window over which sends are counted: one second plus 100 ms for differences in network delay, by which sends can
+/// arrive closer together than they were sent.
 const WINDOW: Duration = Duration::from_millis(1_100);
 
 figure_type! {
-    /// How the servers of a service start.
+    /// Cold-start limits of a service's servers.
     #[derive(Default)]
     pub struct ColdStart {
-        /// How long a server is cold after its start.
+        /// How long a server is cold after it starts.
         pub period: Duration,
-        /// Requests a second that a cold server tolerates; zero where a cold server takes any number.
+        /// Requests per second that a cold server tolerates; zero means unlimited.
         pub rate: f64,
     }
 }
 
 impl ColdStart {
-    /// Whether cold servers take a bounded number of requests.
+    /// Whether requests to cold servers are limited.
     pub fn is_limited(&self) -> bool {
         self.rate > 0.0
     }
 
-    /// Requests that this entry may send to the cold server within a second.
+    /// Requests per second that this entry may send to the cold server.
     pub fn share(&self, entries: &EntryShares, server: SocketAddr) -> usize {
-        let Some(all) = entries.count() else {
+        let Some(entry_count) = entries.count() else {
             return 0;
         };
-        let equal = (self.rate / all as f64) as usize;
-        if equal > 0 {
-            return equal;
+        let equal_share = (self.rate / entry_count as f64) as usize;
+        if equal_share > 0 {
+            return equal_share;
         }
-        let places = (self.rate as usize).max(1);
-        usize::from(entries.is_drawn(server, places))
+        let senders = (self.rate as usize).max(1);
+        usize::from(entries.is_drawn(server, senders))
     }
 }
 
-/// Until when a server is cold, and what this entry has sent there.
+/// How long a server stays cold, and what this entry has sent to it recently.
 #[derive(Clone, Debug, Default)]
 pub struct ColdState {
-    // By the word of the server or its scout.
-    until: Time,
-    // When it may have started, where that was noticed before the server said so.
-    started: Option<Time>,
-    // In the order of time; none is older than the window at the last send.
+    // As announced by the server or its scout.
+    cold_until: Time,
+    // When it may have started, if that was noticed before the server announced it.
+    possible_start: Option<Time>,
+    // Oldest first. Sends older than the window are dropped at the next send.
     sends: VecDeque<Time>,
 }
 
 impl ColdState {
-    /// The server, or its scout, says that it is cold for so much longer. The longest word holds: another one may be
-    /// of before the start.
+    /// Records that the server, or its scout, announced the remaining cold time. The latest end wins, because another
+    /// announcement may predate the server's start.
     pub fn told(&mut self, now: Time, left: Duration) {
-        self.until = self.until.max(now + left);
+        self.cold_until = self.cold_until.max(now + left);
     }
 
-    /// The server may have started just now.
+    /// Records that the server may have started just now.
     pub fn may_have_started(&mut self, now: Time) {
-        self.started = Some(now);
+        self.possible_start = Some(now);
     }
 
-    /// How much longer the server is cold, where that lasts for the period after a start.
+    /// Remaining cold time of a server that is cold for `period` after a start.
     pub fn left(&self, now: Time, period: Duration) -> Duration {
-        let noticed = self.started.map(|at| (at + period).since(now));
-        self.until.since(now).max(noticed.unwrap_or_default())
+        let inferred = self.possible_start.map(|at| (at + period).since(now));
+        self.cold_until.since(now).max(inferred.unwrap_or_default())
     }
 
-    /// A request was sent to the server.
+    /// Records a request sent to the server.
     pub(crate) fn sent(&mut self, now: Time) {
         self.sends.retain(|at| now.since(*at) < WINDOW);
         self.sends.push_back(now);
     }
 
-    /// Requests sent within the window.
+    /// Number of requests sent within the window.
     pub(crate) fn sends(&self, now: Time) -> usize {
         let recent = self.sends.iter().filter(|at| now.since(**at) < WINDOW);
         recent.count()
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -1,41 +1,42 @@
-//! Which engines are asked for their load before a stream is sent to one of them.
+//! Chooses which engines to probe for their current load before a stream is placed.
 //!
-//! Load pattern: a hundred relays send streams to a hundred engines, and a report of an engine reaches each
-//! relay once in some hundred milliseconds. Many streams begin within that time, and every relay sends its
-//! own to the engine that looked emptiest: prompts queue there for a second and more, while the engines
-//! beside it are idle.
+//! Load pattern: a hundred relays send streams to a hundred engines, and each engine's load report reaches
+//! each relay once every few hundred milliseconds. Many streams start between two reports, and every relay
+//! sends its own to the engine that looked least loaded: prompts queue there for a second and more while the
+//! engines beside it are idle.
 //!
-//! So where reports come too seldom, a relay asks a few scouts at the moment of the choice, at a datagram
-//! there and back. The engines are drawn at random, so that relays that ask at the same moment ask different
-//! ones; drawn by the old reports they would meet again. A few are enough: of five that are drawn anew for each
-//! stream the best is seldom busy unless nearly all are, and each more costs two datagrams.
+//! So if reports are too infrequent, a relay probes the scouts of a few engines when it places a stream, at
+//! the cost of one datagram round trip. The engines are drawn at random, so that relays that place streams at
+//! the same moment probe different ones; if they picked by the stale reports, they would again all pick the
+//! same engine. A small sample is enough: the best of five random engines is rarely busy unless nearly all
+//! are, and each further probe costs two datagrams.
 //!
-//! Where all that were asked are too crowded, others are asked once, those of other regions among them. There
-//! is no third time: a burst would turn each refusal into a search.
+//! If all probed engines are overloaded, a second round probes others, including some in other regions. There
+//! is no third round: during a burst, every refusal would turn into a search.
 
 use std::time::Duration;
 
 use crate::copy_type;
 use crate::routing::ServerKey;
 
-/// Reports at longer intervals are too old to choose by: at the rate at which an engine reads, a prompt is
-/// a few hundred milliseconds of it.
-const LONGEST_INTERVAL: Duration = Duration::from_millis(100);
+/// Reports at longer intervals are too stale to choose by: an engine prefills a prompt in a few hundred
+/// milliseconds.
+const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Engines of the own availability zone, and of the others of the region, that are asked first.
-const ASKED_ZONE: usize = 3;
-const ASKED_REGION: usize = 2;
+/// Engines probed in the first round: in the local availability zone, and in the other zones of the region.
+const FIRST_ROUND_ZONE: usize = 3;
+const FIRST_ROUND_REGION: usize = 2;
 
-/// Engines of the region, and of other regions, that are asked where all of these are too crowded.
-const ASKED_AGAIN: usize = 3;
-const ASKED_FAR: usize = 3;
+/// Engines probed in the second round: in the local region, and in other regions.
+const SECOND_ROUND_NEAR: usize = 3;
+const SECOND_ROUND_FAR: usize = 3;
 
 copy_type! {
-    /// How far away a server is.
+    /// Network distance of a server, as seen from this process.
     pub enum Reach {
-        /// In the own availability zone.
+        /// In the same availability zone.
         Zone,
-        /// In another one of the own region.
+        /// In another availability zone of the same region.
         Region,
         /// In another region.
         Far,
@@ -43,16 +44,16 @@
 }
 
 copy_type! {
-    /// Probe round of a placement.
+    /// Probe round of one placement decision.
     pub enum Round {
-        /// The first.
+        /// Probes engines of the local region.
         First,
-        /// Retry after every engine probed first was overloaded.
+        /// Repeats the probe with other engines after all of the first round were overloaded.
         Second,
     }
 }
 
-/// A server that will do for a request.
+/// A server that is eligible for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// The server.
@@ -61,37 +62,39 @@
     pub reach: Reach,
 }
 
-/// Whether reports that come at such an interval are too old to choose by.
+/// Whether load reports at this interval are too stale to choose a server by.
 pub fn reports_too_sparse(interval: Duration) -> bool {
-    interval > LONGEST_INTERVAL
+    interval > MAX_REPORT_INTERVAL
 }
 
-/// The servers to probe in a round, of those that were not probed before.
+/// Picks the servers to probe in a round. `options` must not contain servers that were probed before.
+///
+/// If the round's zones and regions have no server, any of the `options` are picked.
 pub fn probe_targets(
     round: Round,
     options: &[Candidate],
     rng: &mut fastrand::Rng,
 ) -> Vec<ServerKey> {
     let within = |reach: &[Reach]| -> Vec<Candidate> {
-        let these = options.iter().filter(|c| reach.contains(&c.reach));
-        these.copied().collect()
+        let matching = options.iter().filter(|c| reach.contains(&c.reach));
+        matching.copied().collect()
     };
     let near = [Reach::Zone, Reach::Region];
     let mut targets = match round {
-        Round::First => sample(within(&[Reach::Zone]), ASKED_ZONE, rng),
-        Round::Second => sample(within(&near), ASKED_AGAIN, rng),
+        Round::First => sample(within(&[Reach::Zone]), FIRST_ROUND_ZONE, rng),
+        Round::Second => sample(within(&near), SECOND_ROUND_NEAR, rng),
     };
     targets.extend(match round {
-        Round::First => sample(within(&[Reach::Region]), ASKED_REGION, rng),
-        Round::Second => sample(within(&[Reach::Far]), ASKED_FAR, rng),
+        Round::First => sample(within(&[Reach::Region]), FIRST_ROUND_REGION, rng),
+        Round::Second => sample(within(&[Reach::Far]), SECOND_ROUND_FAR, rng),
     });
     match targets.is_empty() {
-        true => sample(options.to_vec(), ASKED_ZONE + ASKED_REGION, rng),
+        true => sample(options.to_vec(), FIRST_ROUND_ZONE + FIRST_ROUND_REGION, rng),
         false => targets,
     }
 }
 
-/// A random sample.
+/// Picks up to `count` servers at random.
 fn sample(options: Vec<Candidate>, count: usize, rng: &mut fastrand::Rng) -> Vec<ServerKey> {
     rng.choose_multiple(options.iter().map(|option| option.key), count)
 }
--- a/lib/src/reading_rate.rs
+++ b/lib/src/reading_rate.rs
@@ -1,59 +1,60 @@
-//! The rate at which an engine reads prompts, estimated by the process beside it.
+//! Estimates the rate at which an engine prefills prompts; runs in the scout beside the engine.
 //!
-//! Load pattern: engines of one deployment read 14 prompt tokens in a millisecond beside nothing else, those of another
-//! 5, and one engine in ten is slower than the rest. By a constant rate prompts are taken to be read long before they
-//! are, and requests queue where they begin late.
+//! Load pattern: engines of one deployment prefill 14 prompt tokens per millisecond when they do nothing else, those of
+//! another 5, and one engine in ten is slower than the rest. With a constant rate, prompts are assumed to be prefilled
+//! long before they are, and requests queue at engines where they start late.
 //!
-//! Counted are the tokens of prompts whose runs have begun, over the time for which the engine had a prompt to read: what
-//! running requests take of it is in there. The prior weighs as much as a few prompts, and old evidence fades.
+//! The estimate divides the prompt tokens of runs that have begun by the time in which the engine had a prompt to
+//! prefill, so it includes the slowdown caused by running requests. The prior weighs as much as a few prompts, and old
+//! measurements decay.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Tokens a millisecond before anything was read, and the milliseconds of reading that this weighs.
+/// Assumed rate, in tokens per millisecond, before any measurement, and its weight in milliseconds of prefill.
 pub const PRIOR: f64 = 7.0;
-const PRIOR_MS: f64 = 500.0;
+const PRIOR_WEIGHT_MS: f64 = 500.0;
 
-/// Half of the evidence is forgotten in this time: engines slow down for seconds.
-const HALF_LIFE: f64 = 10.0;
+/// Half-life of the measurements, in seconds: engines slow down for seconds at a time.
+const HALF_LIFE_S: f64 = 10.0;
 
-/// Bounds of the estimate, as multiples of the prior.
-const LEAST: f64 = 0.1;
-const MOST: f64 = 10.0;
+/// Bounds of the estimate, as multiples of [`PRIOR`].
+const MIN_FACTOR: f64 = 0.1;
+const MAX_FACTOR: f64 = 10.0;
 
-/// A pause between two looks that is longer was no watch.
-const LONGEST_PAUSE: Duration = Duration::from_millis(250);
+/// Longest gap between two samples over which the engine counts as observed.
+const MAX_SAMPLE_GAP: Duration = Duration::from_millis(250);
 
-/// What was read, and in which time.
+/// Prefill rate of one engine, as a decaying ratio of tokens to busy time.
 #[derive(Clone, Debug, Default)]
 pub struct ReadingRate {
     tokens: f64,
     busy_ms: f64,
-    // The last look, and whether a prompt was being read.
-    looked: Option<(Time, bool)>,
+    // Time of the last sample, and whether a prompt was being prefilled then.
+    last_sample: Option<(Time, bool)>,
 }
 
 impl ReadingRate {
-    /// The engine was looked at. `reading` tells whether it has a prompt to read, `begun` the tokens of prompts whose runs
-    /// have begun since the last look.
-    pub fn looked(&mut self, now: Time, reading: bool, begun: u64) {
-        let last = self.looked.replace((now, reading));
-        let Some((at, was_reading)) = last else {
+    /// Records a sample of the engine's state. `busy` is whether it has a prompt to prefill, `prefilled` the prompt tokens
+    /// of the runs that have begun since the last sample.
+    pub fn looked(&mut self, now: Time, busy: bool, prefilled: u64) {
+        let last = self.last_sample.replace((now, busy));
+        let Some((at, was_busy)) = last else {
             return;
         };
-        let passed = now.since(at);
-        if passed > LONGEST_PAUSE || (!was_reading && begun == 0) {
+        let elapsed = now.since(at);
+        if elapsed > MAX_SAMPLE_GAP || (!was_busy && prefilled == 0) {
             return;
         }
-        let kept = 0.5_f64.powf(passed.as_secs_f64() / HALF_LIFE);
-        self.tokens = self.tokens * kept + begun as f64;
-        self.busy_ms = self.busy_ms * kept + passed.as_secs_f64() * 1_000.0;
+        let decay = 0.5_f64.powf(elapsed.as_secs_f64() / HALF_LIFE_S);
+        self.tokens = self.tokens * decay + prefilled as f64;
+        self.busy_ms = self.busy_ms * decay + elapsed.as_secs_f64() * 1_000.0;
     }
 
-    /// Tokens that the engine reads in a millisecond.
+    /// Estimated rate in tokens per millisecond.
     pub fn per_ms(&self) -> f64 {
-        let rate = (PRIOR * PRIOR_MS + self.tokens) / (PRIOR_MS + self.busy_ms);
-        rate.clamp(PRIOR * LEAST, PRIOR * MOST)
+        let rate = (PRIOR * PRIOR_WEIGHT_MS + self.tokens) / (PRIOR_WEIGHT_MS + self.busy_ms);
+        rate.clamp(PRIOR * MIN_FACTOR, PRIOR * MAX_FACTOR)
     }
 }
--- a/lib/src/residency.rs
+++ b/lib/src/residency.rs
@@ -1,7 +1,8 @@
-//! Data residency: the regions in which a request may be served, and its data kept.
+//! Data residency: the regions in which a request may be served and its data stored.
 //!
-//! A route and a workspace may each name allowed regions, and both bind. The restriction holds wherever a request,
-//! the memory of its run or its answer would go: the choice of a backend server, retries, and moves of runs.
+//! A route and a workspace can each restrict the allowed regions, and both restrictions apply. They cover every place
+//! that a request, the KV memory of its run or its answer may go: the choice of a backend server, retries, and moves of
+//! runs.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,19 +14,19 @@
     /// The regions in which a request may be served.
     #[derive(Default)]
     pub enum AllowedRegions {
-        /// All regions.
+        /// Any region.
         #[default]
         Any,
-        /// These regions only. Where there are none, the request may be served nowhere.
+        /// Only these regions. If the set is empty, the request cannot be served.
         Only(Arc<BTreeSet<Name>>),
     }
 }
 
-/// No restriction, for requests that have none to borrow.
+/// No restriction, for callers that need a reference.
 pub static ANY_REGION: AllowedRegions = AllowedRegions::Any;
 
 impl AllowedRegions {
-    /// Restricts to the regions.
+    /// Allows only `regions`.
     pub fn only(regions: impl IntoIterator<Item = Name>) -> Self {
         AllowedRegions::Only(Arc::new(regions.into_iter().collect()))
     }
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Both restrictions at once.
+    /// The regions that both restrictions allow.
     pub fn and(&self, other: &AllowedRegions) -> AllowedRegions {
         match (self, other) {
             (AllowedRegions::Any, only) | (only, AllowedRegions::Any) => only.clone(),
--- a/lib/src/round_trips.rs
+++ b/lib/src/round_trips.rs
@@ -1,11 +1,11 @@
-//! Round trips to other availability zones, estimated from probes.
+//! Estimates network round trips to other availability zones from probes.
 //!
-//! Load pattern: regions lie 30 ms apart in one deployment and 110 ms in another. Taken for a constant, a distance that
-//! is too short sends short calls away whose objective the way alone exceeds, and one that is too long leaves
-//! another region idle while the local one queues.
+//! Load pattern: regions are 30 ms apart in one deployment and 110 ms in another. With a constant that is too small,
+//! short calls are sent to a region so far away that the network alone exceeds their latency objective; with one that
+//! is too large, another region stays idle while the local one queues.
 //!
-//! The least of the latest probes counts: a busy or slow peer makes a probe longer and never shorter, so that one
-//! peer of a zone that answers in time is enough.
+//! The estimate is the minimum of the latest probes: a busy or slow peer can only lengthen a probe, so one peer of a
+//! zone that answers promptly is enough.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -15,32 +15,32 @@
 use crate::placement::Reach;
 use crate::time::Time;
 
-/// Round trips within a region and between regions before any probe was answered.
+/// Assumed round trips within a region and between regions until a probe is answered.
 const REGION_PRIOR: Duration = Duration::from_millis(2);
 const FAR_PRIOR: Duration = Duration::from_millis(60);
 
-/// Probes of a zone that count, and how long they do: ways change when links fail.
-const PROBES: usize = 8;
-const MAX_AGE: Duration = Duration::from_secs(30);
+/// Number and age of the probes of a zone that are used. Old ones expire because routes change when links fail.
+const MAX_PROBES: usize = 8;
+const MAX_PROBE_AGE: Duration = Duration::from_secs(30);
 
-/// The latest probes of each zone.
+/// Round-trip estimates by availability zone.
 #[derive(Clone, Debug, Default)]
 pub struct RoundTrips {
-    // In the order of time.
+    // When each probe was answered and how long it took, oldest first.
     zones: HashMap<Name, VecDeque<(Time, Duration)>>,
 }
 
 impl RoundTrips {
-    /// A probe of a zone was answered after so long.
+    /// Records the round trip of an answered probe of a zone.
     pub fn answered(&mut self, now: Time, zone: &Name, took: Duration) {
         let probes = self.zones.entry(zone.clone()).or_default();
         probes.push_back((now, took));
-        if probes.len() > PROBES {
+        if probes.len() > MAX_PROBES {
             probes.pop_front();
         }
     }
 
-    /// The round trip to a zone.
+    /// Estimated round trip to a zone: the shortest of its recent probes.
     pub fn estimate(&self, now: Time, zone: &Name, reach: Reach) -> Duration {
         let prior = match reach {
             Reach::Zone => return Duration::ZERO,
@@ -48,7 +48,7 @@
             Reach::Far => FAR_PRIOR,
         };
         let probes = self.zones.get(zone).into_iter().flatten();
-        let fresh = probes.filter(|(at, _)| now.since(*at) < MAX_AGE);
+        let fresh = probes.filter(|(at, _)| now.since(*at) < MAX_PROBE_AGE);
         fresh.map(|(_, took)| *took).min().unwrap_or(prior)
     }
 }
--- a/lib/src/work_time.rs
+++ b/lib/src/work_time.rs
@@ -1,24 +1,25 @@
-//! The time that a plain service's servers work on a call, estimated from answers.
+//! Estimates the service time of calls at a plain service's servers: how long a server works on a call.
 //!
 //! Load pattern: calls take 15 ms in one deployment and 60 in another, and one server of a service takes several times
-//! as long as the others. A place in a queue that is priced by a constant sends calls to another region that would
-//! have been served sooner here, or leaves them behind a slow server.
+//! as long as the others. If the cost of a queue position is a constant, calls are sent to another region although the
+//! local one would have served them sooner, or are left queued at a slow server.
 //!
-//! Only answers without a queue before them count: the rest of their time is waiting. The mean is an EWMA in which one
-//! answer counts little, and no more than a multiple of the mean, so that a call that hangs does not empty a server.
+//! Only calls that met no queue are counted, because for the others the time includes waiting. The mean is an EWMA with
+//! a small weight, and one answer counts for at most a few times the mean, so that a single call that hangs does not
+//! divert all traffic from a server.
 
 use std::time::Duration;
 
-/// The time of a call before any answer came.
+/// Assumed service time before the first answer.
 const PRIOR: Duration = Duration::from_millis(40);
 
-/// The weight of the latest answer.
+/// EWMA weight of the latest answer.
 const NEW_WEIGHT: f64 = 0.05;
 
-/// The most that one answer counts, in means.
-const MOST_MEANS: f64 = 4.0;
+/// Cap on one answer, as a multiple of the current mean.
+const MAX_OUTLIER: f64 = 4.0;
 
-/// The mean time of a call.
+/// Mean service time of calls.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkTime(Duration);
 
@@ -29,13 +30,13 @@
 }
 
 impl WorkTime {
-    /// A call was answered so long after it had reached an idle place.
+    /// Records a call that found an idle slot and was answered after `took`.
     pub fn answered(&mut self, took: Duration) {
-        let took = took.min(self.0.mul_f64(MOST_MEANS));
+        let took = took.min(self.0.mul_f64(MAX_OUTLIER));
         self.0 = self.0.mul_f64(1.0 - NEW_WEIGHT) + took.mul_f64(NEW_WEIGHT);
     }
 
-    /// The mean.
+    /// Current mean.
     pub fn mean(&self) -> Duration {
         self.0
     }
--- a/lib/src/zone_evacuation.rs
+++ b/lib/src/zone_evacuation.rs
@@ -1,9 +1,10 @@
 //! Zone evacuation: the availability zones whose backend servers take no new work.
 //!
-//! An operator evacuates a zone and takes that back, and each change must hold everywhere within seconds, also at
-//! entries that cannot read the directory and after the one that read it has died. So the whole set travels with the
-//! revision of the directory at which it held, and the latest revision wins wherever it comes from. A directory that has
-//! gone back to an older copy of itself may have lost an evacuation: it holds until it can have been written again.
+//! An operator can evacuate a zone and revert that, and either change must take effect everywhere within seconds, even
+//! at entries that cannot read the directory and after the entry that read it has died. So processes exchange the
+//! whole set together with its directory revision, and the latest revision wins, whichever process it comes from. A
+//! directory that was restored from an older copy may have lost an evacuation: the evacuation stays in force until it
+//! can have been written again.
 
 use std::collections::BTreeSet;
 
@@ -12,22 +13,22 @@
 use crate::value_type;
 
 value_type! {
-    /// The evacuated availability zones at a revision of the directory.
+    /// The set of evacuated availability zones at a revision of the directory.
     #[derive(Default)]
     pub struct EvacuatedZones {
-        /// The zones.
+        /// Evacuated zones.
         pub zones: BTreeSet<Name>,
-        /// The revision; zero where nothing is known yet.
+        /// The directory revision; zero if nothing is known yet.
         pub revision: Revision,
     }
 }
 
-/// What a newer set has changed.
+/// The difference that a newer set made.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct EvacuationChange {
-    /// Zones that take no new work any more.
+    /// Zones that were evacuated.
     pub begun: Vec<Name>,
-    /// Zones that take work again.
+    /// Zones whose evacuation ended.
     pub ended: Vec<Name>,
 }
 
@@ -39,7 +40,7 @@
 }
 
 impl EvacuatedZones {
-    /// Whether anything is known.
+    /// Whether a set has been received.
     pub fn is_known(&self) -> bool {
         self.revision.is_known()
     }
@@ -49,7 +50,7 @@
         self.zones.contains(zone)
     }
 
-    /// Takes a set over, if it is of a later revision. One of an incomplete listing ends no evacuation.
+    /// Adopts the set if its revision is later. A set from an incomplete listing adds zones but removes none.
     pub fn update(&mut self, other: &EvacuatedZones) -> EvacuationChange {
         if other.revision <= self.revision {
             return EvacuationChange::default();
