--- a/lib/src/engine_ledger.rs
+++ b/lib/src/engine_ledger.rs
@@ -1,17 +1,18 @@
-//! What an engine's memory will hold, and what it has still to read: kept by the scout beside it.
+//! Tracks the requests of one engine and forecasts its peak memory and prefill backlog. Runs in the scout beside the
+//! engine.
 //!
-//! Load pattern: several relays send to one engine within the time that a report takes, and each run grows
-//! for seconds after it was taken in. By what engines hold now they look half empty, and a few seconds
-//! later all of them displace runs in the middle, whose prompts are read again.
+//! Load pattern: several relays send to one engine between two of its reports, and each run grows for seconds after it
+//! was admitted. By their current usage the engines look half empty, and a few seconds later all of them preempt runs
+//! halfway, whose prompts have to be prefilled again.
 //!
-//! Relays tell the scout what they expect of each request. The scout sees which runs have begun, what they
-//! hold and which have ended, so that nobody has to agree on anything: the sum of what runs, grown to its
-//! expected ends, and of what is under way, stands here alone. Expectations are right for half of the
-//! runs; one that has outlived its own is expected to go on for half as long again.
+//! Relays announce the expected size of each request to the scout. The scout sees which runs have begun, how much
+//! memory they hold and which have ended, so no coordination is needed: it alone adds up the running requests, grown to
+//! their expected ends, and the requests in transit. Expected sizes are right for half of the runs; a run that outgrows
+//! its own is assumed to grow by half of the default growth again.
 //!
-//! A relay that asks what a request would meet has a claim for a moment, so that two relays that ask one after the
-//! other are not promised the same room. It counts for the part of a request that is to be expected: of five
-//! engines that are asked one gets it. Counted whole, many claims at once would make idle engines look crowded.
+//! A relay that probes the engine for a request gets a short reservation, so that two relays that probe shortly after
+//! one another are not promised the same memory. If a relay probes five engines, one of them gets the request, so each
+//! reserves a fifth of it. If every reservation counted in full, many at once would make idle engines look overloaded.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -28,194 +29,209 @@
 use crate::reading_rate::ReadingRate;
 use crate::time::Time;
 
-/// Tokens by which a long run is expected to grow whose relay has said nothing: half of what one writes.
-const USUAL_GROWTH: u64 = 400;
+/// Tokens by which a long run is assumed to grow if no relay announced it: half of a typical output.
+const DEFAULT_GROWTH: u64 = 400;
 
-/// Tokens of a request of which only the number is known.
-const USUAL_PROMPT: u64 = 2_600;
+/// Prompt tokens assumed for a waiting request that the engine counts but no relay announced.
+const DEFAULT_PROMPT: u64 = 2_600;
 
-/// After this a request that has not begun counts by the engine's own word only: it was turned away, or
-/// its caller has gone.
-const UNDER_WAY: Duration = Duration::from_millis(300);
+/// A request that has not begun after this long only counts if the engine counts it as waiting: otherwise it
+/// was refused, or its caller has gone.
+const MAX_IN_TRANSIT: Duration = Duration::from_millis(300);
 
-/// How long a claim holds: the relay's choice and its word of the send take a few milliseconds, and most
-/// claims are of relays that chose another engine.
-const CLAIM: Duration = Duration::from_millis(40);
+/// Lifetime of a reservation. A relay that chooses this engine announces the request within a few
+/// milliseconds; most reservations are from relays that chose another engine.
+const RESERVATION_TTL: Duration = Duration::from_millis(40);
 
-/// What was sent so shortly before the engine was looked at is not in its report: the connection was still
+/// A request sent less than this before the engine was polled is not in its report: its connection was still
 /// being opened.
-const UNSEEN: Duration = Duration::from_millis(5);
+const REPORT_LAG: Duration = Duration::from_millis(5);
 
-/// What waits longer was lost with its word of the end: no caller waits so long for a first event.
-const FORGOTTEN: Duration = Duration::from_secs(40);
+/// A request that is_waiting longer has ended and its end was missed: no caller is_waiting this long for a first event.
+const MAX_WAIT: Duration = Duration::from_secs(40);
 
-/// What an engine's memory will hold.
+/// Expected load of an engine.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Plan {
-    /// Tokens at the highest point that is expected of all that runs or is under way.
+    /// Expected peak memory, in tokens, of all running and waiting requests.
     pub tokens: u64,
-    /// Tokens of prompts that are still to be read.
+    /// Prompt tokens that are still to be prefilled.
     pub unread: u64,
 }
 
-/// A request that a relay has sent.
+/// A request that a relay has announced.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct TrackedRequest {
     at: Time,
     prompt: u64,
-    // Tokens that it is expected to hold at its end.
-    tokens: u64,
+    // Tokens that it is expected to hold when it ends.
+    final_tokens: u64,
     stage: Stage,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Stage {
-    // Asked for by a relay, which may send it elsewhere.
-    Claimed,
+    // A relay probed for it and may send it to another engine.
+    Reserved,
     Sent,
-    Begun,
+    Running,
 }
 
-impl Sent {
-    fn new(at: Time, prompt: u64, tokens: u64, stage: Stage) -> Self {
-        Sent {
+impl TrackedRequest {
+    fn new(at: Time, prompt: u64, final_tokens: u64, stage: Stage) -> Self {
+        TrackedRequest {
             at,
             prompt,
-            tokens,
+            final_tokens,
             stage,
         }
     }
 
-    /// Whether it still has to be read, as far as is known.
-    fn waits(&self, now: Time) -> bool {
+    /// Whether it is believed to be waiting for its prefill.
+    fn is_waiting(&self, now: Time) -> bool {
         match self.stage {
-            Stage::Claimed => now.since(self.at) < CLAIM,
+            Stage::Reserved => now.since(self.at) < RESERVATION_TTL,
             Stage::Sent => true,
-            Stage::Begun => false,
+            Stage::Running => false,
         }
     }
 }
 
-/// The requests of one engine.
+/// Running and waiting requests of one engine.
 #[derive(Debug, Default)]
 pub struct EngineLedger {
-    sent: HashMap<Name, Sent>,
-    // What the engine said last, and when.
+    requests: HashMap<Name, TrackedRequest>,
+    // The engine's latest report, and when it was polled.
     report: EngineReport,
-    looked: Time,
-    reading: ReadingRate,
+    polled_at: Time,
+    prefill_rate: ReadingRate,
 }
 
 impl EngineLedger {
-    /// Nothing is under way.
+    /// Creates a tracker without requests.
     pub fn new() -> Self {
         EngineLedger::default()
     }
 
-    /// A relay has sent a request.
+    /// Records a request that a relay has sent.
     pub fn sent(&mut self, now: Time, word: &SentWord) {
-        let sent = Sent::new(now, word.prompt, word.tokens, Stage::Sent);
-        self.sent.insert(word.id.clone(), sent);
+        let request = TrackedRequest::new(now, word.prompt, word.tokens, Stage::Sent);
+        self.requests.insert(word.id.clone(), request);
     }
 
-    /// A relay asks what a request would meet, and may send it.
+    /// Reserves capacity for a request that a relay probes for and may send. Each of the probed engines reserves an equal
+    /// part of it.
     pub fn claimed(&mut self, now: Time, ask: &LoadAsk) {
-        let asked = u64::from(ask.asked.max(1));
-        let (prompt, tokens) = (ask.prompt / asked, ask.tokens / asked);
-        let claim = Sent::new(now, prompt, tokens, Stage::Claimed);
-        self.sent.entry(ask.id.clone()).or_insert(claim);
+        let engines = u64::from(ask.asked.max(1));
+        let (prompt, tokens) = (ask.prompt / engines, ask.tokens / engines);
+        let reservation = TrackedRequest::new(now, prompt, tokens, Stage::Reserved);
+        self.requests.entry(ask.id.clone()).or_insert(reservation);
     }
 
-    /// Takes in what the engine says of itself.
+    /// Updates the tracked requests and the prefill rate from a report that the engine returned at `now`.
     pub fn look(&mut self, now: Time, report: EngineReport) {
-        let begun = self.settle(now, &report);
-        self.reading.looked(now, report.reading > 0, begun);
+        let prefilled = self.reconcile(now, &report);
+        self.prefill_rate.looked(now, report.reading > 0, prefilled);
         self.report = report;
-        self.looked = now;
+        self.polled_at = now;
     }
 
-    /// What the engine is expected to hold and to read, but for the request `without`. Takes O(n log n) in
-    /// its runs.
+    /// Forecasts the engine's peak memory and prefill backlog, leaving out the request `without`. Takes O(n log n)
+    /// in the number of its requests.
     pub fn plan(&self, now: Time, without: Option<&Name>) -> Plan {
         let report = &self.report;
         let mut all: Vec<Footprint> = report.runs.iter().map(|run| self.footprint(run)).collect();
-        let (unseen, mut waiting) = self.waiting(now, without);
-        // The engine's own word on their number goes first, but for those it cannot have seen.
-        let reading = report.reading as usize;
-        let young = waiting.iter().filter(|s| now.since(s.at) < UNDER_WAY);
-        let counted = reading.max(young.count());
+        let (unreported, mut waiting) = self.waiting(now, without);
+        // The number of waiting requests is the engine's own count, or that of the requests that may still be in
+        // transit if it is larger.
+        let reported = report.reading as usize;
+        let in_transit = waiting
+            .iter()
+            .filter(|request| now.since(request.at) < MAX_IN_TRANSIT);
+        let counted = reported.max(in_transit.count());
         waiting.truncate(counted);
-        let unknown = reading.saturating_sub(waiting.len()) as u64;
-        let mut unread: u64 = waiting.iter().chain(&unseen).map(|sent| sent.prompt).sum();
-        unread += unknown * USUAL_PROMPT;
-        all.extend(waiting.iter().chain(&unseen).map(|sent| {
-            let growth = sent.tokens.saturating_sub(sent.prompt);
-            footprint(sent.prompt, growth)
+        let unannounced = reported.saturating_sub(waiting.len()) as u64;
+        let mut unread: u64 = waiting
+            .iter()
+            .chain(&unreported)
+            .map(|request| request.prompt)
+            .sum();
+        unread += unannounced * DEFAULT_PROMPT;
+        all.extend(waiting.iter().chain(&unreported).map(|request| {
+            let growth = request.final_tokens.saturating_sub(request.prompt);
+            footprint(request.prompt, growth)
         }));
-        all.extend((0..unknown).map(|_| footprint(USUAL_PROMPT, USUAL_GROWTH)));
+        all.extend((0..unannounced).map(|_| footprint(DEFAULT_PROMPT, DEFAULT_GROWTH)));
         Plan {
             tokens: MemoryPlan::peak(&mut all) as u64,
             unread,
         }
     }
 
-    /// What has not begun: what the engine's report cannot show yet, and the rest with the latest first.
-    fn waiting(&self, now: Time, without: Option<&Name>) -> (Vec<Sent>, Vec<Sent>) {
-        let others = self.sent.iter().filter(|(id, _)| Some(*id) != without);
-        let waiting = others.filter(|(_, sent)| sent.waits(now));
-        let (unseen, mut rest): (Vec<Sent>, Vec<Sent>) = waiting
-            .map(|(_, sent)| *sent)
-            .partition(|sent| sent.at + UNSEEN > self.looked);
-        rest.sort_by_key(|sent| std::cmp::Reverse(sent.at));
-        (unseen, rest)
+    /// Waiting requests: those sent too late for the engine's latest report, and the others, latest first.
+    fn waiting(
+        &self,
+        now: Time,
+        without: Option<&Name>,
+    ) -> (Vec<TrackedRequest>, Vec<TrackedRequest>) {
+        let others = self.requests.iter().filter(|(id, _)| Some(*id) != without);
+        let waiting = others.filter(|(_, request)| request.is_waiting(now));
+        let (unreported, mut rest): (Vec<TrackedRequest>, Vec<TrackedRequest>) = waiting
+            .map(|(_, request)| *request)
+            .partition(|request| request.at + REPORT_LAG > self.polled_at);
+        rest.sort_by_key(|request| std::cmp::Reverse(request.at));
+        (unreported, rest)
     }
 
-    /// Tokens of prompts that the engine reads in a millisecond.
+    /// Estimated prefill rate of the engine, in tokens per millisecond.
     pub fn reading_rate(&self) -> f64 {
-        self.reading.per_ms()
+        self.prefill_rate.per_ms()
     }
 
-    /// Requests that are known.
+    /// Number of tracked requests.
     pub fn len(&self) -> usize {
-        self.sent.len()
+        self.requests.len()
     }
 
-    /// Whether no request is known.
+    /// Whether no request is tracked.
     pub fn is_empty(&self) -> bool {
-        self.sent.is_empty()
+        self.requests.is_empty()
     }
 
-    /// Notes which requests have begun, and forgets those that have ended. Returns the tokens of the prompts of those
-    /// that have begun since the last look.
-    fn settle(&mut self, now: Time, report: &EngineReport) -> u64 {
-        let mut begun = 0;
+    /// Marks requests that run now and drops those that have ended. Returns the prompt tokens of the requests that have
+    /// begun since the last report.
+    fn reconcile(&mut self, now: Time, report: &EngineReport) -> u64 {
+        let mut prefilled = 0;
         let runs: HashSet<&Name> = report.runs.iter().map(|run| &run.id).collect();
         let idle = report.reading == 0;
-        self.sent.retain(|id, sent| {
+        self.requests.retain(|id, request| {
             if runs.contains(id) {
-                if sent.stage == Stage::Sent {
-                    begun += sent.prompt;
+                if request.stage == Stage::Sent {
+                    prefilled += request.prompt;
                 }
-                sent.stage = Stage::Begun;
+                request.stage = Stage::Running;
                 return true;
             }
-            let age = now.since(sent.at);
-            let lost = idle && age >= UNDER_WAY;
-            sent.waits(now) && !lost && age < FORGOTTEN
+            let age = now.since(request.at);
+            let lost = idle && age >= MAX_IN_TRANSIT;
+            request.is_waiting(now) && !lost && age < MAX_WAIT
         });
-        begun
+        prefilled
     }
 
     fn footprint(&self, run: &EngineRun) -> Footprint {
-        let expected = self.sent.get(&run.id).map(|sent| sent.tokens);
-        let usual = match move_plan::is_short(run.rank) {
+        let expected = self
+            .requests
+            .get(&run.id)
+            .map(|request| request.final_tokens);
+        let default = match move_plan::is_short(run.rank) {
             true => 0,
-            false => USUAL_GROWTH,
+            false => DEFAULT_GROWTH,
         };
         let growth = match expected {
-            None => usual,
+            None => default,
             Some(expected) if expected > run.tokens => expected - run.tokens,
-            Some(_) => usual / 2,
+            Some(_) => default / 2,
         };
         footprint(run.tokens, growth)
     }
--- a/lib/src/move_plan.rs
+++ b/lib/src/move_plan.rs
@@ -1,54 +1,53 @@
-//! Which run leaves an engine next that is about to go, and where to.
+//! Plans the migration of runs off a draining engine: which run moves next, and to which engine.
 //!
-//! Load pattern: an engine says 1.5 to 2 s ahead that it goes, with five to nine long runs on it. Each
-//! copy takes about a fifth of a second on the engine's one link, and a run stands still while the last
-//! part of it waits there. Started all at once, every run stands still until the others are through,
-//! and its caller sees a pause of up to a second. Sent to the emptiest engine by all, the runs meet
-//! there and find no room.
+//! Load pattern: an engine announces its shutdown 1.5 to 2 s ahead, with five to nine long runs on it. Each copy takes
+//! about a fifth of a second on the engine's single link, and a run is paused while the last part of it is copied. If
+//! all copies start at once, every run stays paused until the others are copied too, and its caller sees a gap of up to
+//! a second. If every engine sends its runs to the least loaded target, the runs collide there and do not fit.
 //!
-//! So one run goes at a time, first the one with the least to copy: as many runs as possible are off
-//! before the engine is. Runs that will end by themselves stay. Targets are taken by the room that is
-//! left after what was sent there already.
+//! So runs move one at a time, the smallest first, to get as many as possible off the engine before it shuts down. Runs
+//! that will finish soon stay. Targets are chosen by the memory that is left after the runs already moved there.
 
 use std::net::SocketAddr;
 
 use crate::dialect::EngineRun;
 use crate::ids::Name;
 
-/// Tokens that a target must have free beyond the run's own, for the run to grow in: a second's.
-const GROWTH: u64 = 128;
+/// Free tokens that a target needs beyond the size of the run: the growth of a run in one second.
+const GROWTH_RESERVE: u64 = 128;
 
-/// A short run that has made more events than this is no short one after all.
-const SHORT_EVENTS: u64 = 12;
+/// A run that was expected to be short is treated as long once it has produced more events than this.
+const MAX_SHORT_EVENTS: u64 = 12;
 
-/// The part of a target's memory that moved runs may fill: what runs there grows too.
-const FILL: f64 = 0.97;
+/// Fraction of a target's memory that moved runs may fill. The rest is left for the growth of the runs already there.
+const MAX_FILL: f64 = 0.97;
 
-/// An engine to which runs can be moved.
+/// An engine that runs can be moved to.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Where it takes requests.
+    /// Address at which it takes requests.
     pub address: SocketAddr,
-    /// Tokens of its memory that are taken, as last reported, with those sent there since.
+    /// Tokens of memory in use: as last reported, plus runs moved there since.
     pub used: u64,
-    /// Tokens of its memory in all.
+    /// Total tokens of memory.
     pub capacity: u64,
-    /// Requests that run or wait there, with those sent there since.
+    /// Running and waiting requests: as last reported, plus runs moved there since.
     pub busy: u32,
-    /// Whether it stands in the availability zone of the engine that leaves: to another zone of the region
-    /// a copy takes twice as long.
+    /// Whether it is in the availability zone of the draining engine. A copy to another zone of the region takes
+    /// twice as long.
     pub near: bool,
-    /// Whether it has started lately: a cold engine tolerates few arrivals, and others send there too.
+    /// Whether it is cold: a recently started engine tolerates few arrivals, and others send requests there too.
     pub cold: bool,
-    /// Whether it names a limit of requests: a run that goes on there is one of them.
+    /// Whether it announces a request limit. A run that is moved there counts towards the limit.
     pub limited: bool,
-    /// Whether it falls to this engine among those that leave together. See [`falls_to`].
+    /// Whether it is assigned to this engine among those that drain at the same time. See [`falls_to`].
     pub own: bool,
 }
 
-/// Whether the target falls to `engine`, where several engines leave together: each target to one of
-/// them, in turn. Copies of two engines to one target wait for each other on its link, and a run that
-/// has stopped waits with them. All engines are in order of their addresses on both sides.
+/// Whether the target with this index is assigned to `engine`, if several engines drain at the same time: targets are
+/// assigned round-robin. Copies from two engines to one target would wait for each other on its link, together with
+/// the run that is paused for its last copy step. `leaving` and the targets are sorted by address at every engine, so
+/// that all engines agree.
 pub fn falls_to(engine: SocketAddr, leaving: &[SocketAddr], place: usize) -> bool {
     let mut all: Vec<SocketAddr> = leaving.iter().copied().chain([engine]).collect();
     all.sort();
@@ -56,44 +55,47 @@
     all[place % all.len()] == engine
 }
 
-/// Whether a rank says that the run is expected to be short. See [`rank`].
+/// Whether a rank marks a run that is expected to be short. See [`rank`].
 pub fn is_short(rank: u8) -> bool {
     rank % 2 == 1
 }
 
-/// The rank of a request at an engine, 0 to 9: by its priority, and within one long runs before short
-/// ones. When memory runs out, engines displace the least urgent, and a short run has less to lose.
+/// Returns the rank of a request at an engine, from 0 (most urgent) to 9: by priority, with long runs before short ones
+/// of the same priority. When an engine runs out of memory it preempts the least urgent runs, and a short run loses
+/// less work.
 pub fn rank(priority: u32, short: bool) -> u8 {
     let rank = priority.min(4) as u8 * 2;
     rank + u8::from(short)
 }
 
-/// The run to move next, among those not in `done`; `None` where all others stay.
+/// Chooses the run to move next among those not in `done`; `None` if all remaining runs should stay.
 pub fn next_run<'a>(runs: &'a [EngineRun], done: &[Name]) -> Option<&'a EngineRun> {
-    let open = runs.iter().filter(|run| !done.contains(&run.id));
-    let worth = open.filter(|run| !is_short(run.rank) || run.events > SHORT_EVENTS);
-    worth.min_by_key(|run| (run.tokens, run.id.clone()))
+    let remaining = runs.iter().filter(|run| !done.contains(&run.id));
+    let long = remaining.filter(|run| !is_short(run.rank) || run.events > MAX_SHORT_EVENTS);
+    long.min_by_key(|run| (run.tokens, run.id.clone()))
 }
 
-/// The target with the most room for a run, among those not in `refused`; first those that are neither cold nor at a
-/// limit, own ones among them, and near ones among these.
+/// Chooses the target for a run of `tokens` tokens, among those not in `refused` that have enough memory.
+///
+/// Prefers targets that are neither cold nor limited, then those assigned to this engine, then those in the same zone,
+/// then the one with the most free memory.
 pub fn target_for<'a>(
     tokens: u64,
     targets: &'a [Target],
     refused: &[SocketAddr],
 ) -> Option<&'a Target> {
-    let open = targets.iter().filter(|t| !refused.contains(&t.address));
-    let fits = open.filter(|target| {
-        let most = (target.capacity as f64 * FILL) as u64;
-        target.used + tokens + GROWTH <= most
+    let accepting = targets.iter().filter(|t| !refused.contains(&t.address));
+    let fitting = accepting.filter(|target| {
+        let usable = (target.capacity as f64 * MAX_FILL) as u64;
+        target.used + tokens + GROWTH_RESERVE <= usable
     });
-    fits.max_by_key(|target| {
-        let room = target.capacity - target.used;
+    fitting.max_by_key(|target| {
+        let free = target.capacity - target.used;
         (
             !target.cold && !target.limited,
             target.own,
             target.near,
-            room,
+            free,
             std::cmp::Reverse(target.busy),
         )
     })
--- a/lib/src/probes.rs
+++ b/lib/src/probes.rs
@@ -1,8 +1,8 @@
-//! Tells a dead host from a silent link.
+//! SWIM-style failure detector that tells a dead host from a broken link.
 //!
-//! A process that condemns whom it cannot reach takes a host out of service whenever one link is
-//! down. So an unanswered ping leads to a question to others, on other paths: only whom none of them
-//! reaches is suspected, and a suspect that lives objects.
+//! If a process reported every peer that it cannot reach as dead, one broken link would take a host out of service. So
+//! after an unanswered ping it asks other processes to ping the peer over other paths. Only a peer that none of them
+//! reaches is suspected, and a suspect that is alive refutes the suspicion.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,71 +11,73 @@
 use crate::gossip::MemberId;
 use crate::time::Time;
 
-// Eight times the round trip between regions; a busy host answers within it.
-const PING_WAIT: Duration = Duration::from_millis(500);
+// Eight times the round trip between regions, so that a busy host can answer in time.
+const PING_TIMEOUT: Duration = Duration::from_millis(500);
 
-// One datagram in some dozens is lost, and tells nothing of the link: the ping is repeated as often.
-const REPEATS: u32 = 2;
+// Retries of an unanswered ping. One datagram in a few dozen is lost, so a single loss does not mean that the link is
+// down.
+const MAX_RETRIES: u32 = 2;
 
-// From the first ping to the verdict: two round trips by way of another region, and slack.
-const VERDICT: Duration = Duration::from_millis(1_500);
+// From the first ping to the result: two round trips by way of another region, and slack.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-// A process that slept for longer than this finds all its pings unanswered, and knows nothing.
-const PAUSE: Duration = Duration::from_millis(1_000);
+// If this process was suspended for longer than this, its pings are unanswered for that reason, so they are discarded.
+const MAX_TICK_GAP: Duration = Duration::from_millis(1_000);
 
-/// For whom a ping is made.
-struct Client {
+/// The process on whose behalf a ping is sent.
+struct Requester {
     address: SocketAddr,
     nonce: u32,
 }
 
 struct Probe {
     target: MemberId,
-    sent: Time,
-    repeats: u32,
+    sent_at: Time,
+    retries: u32,
     reached: bool,
-    client: Option<Client>,
+    requester: Option<Requester>,
 }
 
-/// What to do about a ping without an answer.
+/// Next step for an unanswered ping.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Step {
-    /// Ping the target again, and ask others to do so as well.
+    /// Ping the target again and, if `ask` is set, ask other processes to ping it too.
     Repeat {
         nonce: u32,
         target: MemberId,
         ask: bool,
     },
-    /// Others reach it.
+    /// Other processes reach the target, so only the direct link is down.
     LinkSilent(MemberId),
-    /// Nobody reaches it.
+    /// No process reached the target, which was first pinged at `since`.
     Condemn { target: MemberId, since: Time },
 }
 
-/// What an answer to a ping means.
+/// How to treat the answer to a ping.
 pub(crate) enum Acked {
-    /// Nothing waits for it.
+    /// The ping has timed out; ignore the answer.
     Late,
-    /// It was this process's own.
+    /// This process sent the ping for itself.
     Own,
-    /// Another process asked for it.
+    /// Another process asked for the ping, with this nonce; forward the answer to it.
     For { address: SocketAddr, nonce: u32 },
 }
 
-/// The pings that wait for an answer.
+/// Outstanding pings.
 #[derive(Default)]
 pub(crate) struct Probes {
-    open: BTreeMap<u32, Probe>,
-    last: Time,
+    // By nonce.
+    outstanding: BTreeMap<u32, Probe>,
+    last_tick: Time,
 }
 
 impl Probes {
-    /// Begins a ping of this process's own, and returns its number.
+    /// Starts a direct probe and returns the nonce of its ping.
     pub(crate) fn begin(&mut self, now: Time, target: MemberId, rng: &mut fastrand::Rng) -> u32 {
         self.insert(now, target, None, rng)
     }
 
-    /// Begins a ping on behalf of another process.
+    /// Starts an indirect probe, on behalf of another process, and returns the nonce of its ping.
     pub(crate) fn begin_for(
         &mut self,
         now: Time,
@@ -84,54 +86,56 @@
         nonce: u32,
         rng: &mut fastrand::Rng,
     ) -> u32 {
-        let client = Client { address, nonce };
-        self.insert(now, target, Some(client), rng)
+        let requester = Requester { address, nonce };
+        self.insert(now, target, Some(requester), rng)
     }
 
-    /// An answer has come.
+    /// Handles the answer to a ping.
     pub(crate) fn acked(&mut self, nonce: u32) -> Acked {
-        match self.open.remove(&nonce) {
+        match self.outstanding.remove(&nonce) {
             None => Acked::Late,
-            Some(Probe { client: None, .. }) => Acked::Own,
             Some(Probe {
-                client: Some(client),
+                requester: None, ..
+            }) => Acked::Own,
+            Some(Probe {
+                requester: Some(requester),
                 ..
             }) => Acked::For {
-                address: client.address,
-                nonce: client.nonce,
+                address: requester.address,
+                nonce: requester.nonce,
             },
         }
     }
 
-    /// Another process has reached the target of a ping.
+    /// Records that another process has reached the target of a ping.
     pub(crate) fn reached(&mut self, nonce: u32) {
-        if let Some(probe) = self.open.get_mut(&nonce) {
+        if let Some(probe) = self.outstanding.get_mut(&nonce) {
             probe.reached = true;
         }
     }
 
-    /// What is to be done now. To be called several times a second.
+    /// Returns the steps that are due. Must be called several times a second.
     pub(crate) fn steps(&mut self, now: Time) -> Vec<Step> {
-        if now.since(self.last) > PAUSE {
-            self.open.clear();
+        if now.since(self.last_tick) > MAX_TICK_GAP {
+            self.outstanding.clear();
         }
-        self.last = now;
+        self.last_tick = now;
         let mut steps = Vec::new();
-        self.open.retain(|nonce, probe| {
-            let age = now.since(probe.sent);
-            if probe.client.is_some() {
-                return age < VERDICT;
+        self.outstanding.retain(|nonce, probe| {
+            let age = now.since(probe.sent_at);
+            if probe.requester.is_some() {
+                return age < PROBE_TIMEOUT;
             }
-            if age >= VERDICT {
+            if age >= PROBE_TIMEOUT {
                 steps.push(verdict(probe));
                 return false;
             }
-            if probe.repeats < REPEATS && age >= PING_WAIT * (probe.repeats + 1) {
-                probe.repeats += 1;
+            if probe.retries < MAX_RETRIES && age >= PING_TIMEOUT * (probe.retries + 1) {
+                probe.retries += 1;
                 steps.push(Step::Repeat {
                     nonce: *nonce,
                     target: probe.target,
-                    ask: probe.repeats == 1,
+                    ask: probe.retries == 1,
                 });
             }
             true
@@ -143,18 +147,18 @@
         &mut self,
         now: Time,
         target: MemberId,
-        client: Option<Client>,
+        requester: Option<Requester>,
         rng: &mut fastrand::Rng,
     ) -> u32 {
         let nonce = rng.u32(..);
         let probe = Probe {
             target,
-            sent: now,
-            repeats: 0,
+            sent_at: now,
+            retries: 0,
             reached: false,
-            client,
+            requester,
         };
-        self.open.insert(nonce, probe);
+        self.outstanding.insert(nonce, probe);
         nonce
     }
 }
@@ -165,7 +169,7 @@
     } else {
         Step::Condemn {
             target: probe.target,
-            since: probe.sent,
+            since: probe.sent_at,
         }
     }
 }
--- a/lib/src/rumours.rs
+++ b/lib/src/rumours.rs
@@ -1,10 +1,10 @@
-//! Which words a process passes on, to how many peers and when.
+//! Disseminates membership updates by rumor mongering: which updates a process forwards, to how many peers and when.
 //!
-//! A word that is passed on only with the datagram of each second reaches the last of 1,370 processes
-//! after 8 to 10 s; meanwhile a leaving backend server gets new work. So whoever hears news passes it
-//! on within a tenth of a second, and again a little later; the datagrams of each second fill the gaps
-//! that loss leaves. All copies of many words together stay under a byte budget: a whole zone that
-//! restarts delays words, it does not fill the links.
+//! If updates were only piggybacked on the periodic datagrams, they would reach the last of 1,370 processes after 8 to
+//! 10 s, and meanwhile a draining backend server would get new work. So a process that learns of an update forwards it
+//! within a tenth of a second and once more a little later; the periodic datagrams make up for lost packets. A byte
+//! budget caps the copies of all updates together: the restart of a whole zone delays updates instead of saturating
+//! the links.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,106 +14,110 @@
 use crate::gossip::Word;
 use crate::time::Time;
 
-// Copies at once, then a little later. Of n processes that each pass on k copies, the share e^-k
-// hears nothing: one in 3,000 at eight. The datagrams of each second reach these.
+// Copies per round: the first round is sent at once, the second a little later. If every process forwards k copies,
+// a fraction e^-k of the processes receives none: one in 3,000 for k = 8. The periodic datagrams reach these.
 const COPIES: [usize; 2] = [5, 3];
-const SECOND_ROUND: Duration = Duration::from_millis(300);
+const ROUND_INTERVAL: Duration = Duration::from_millis(300);
 
-// With more words than this under way only the first copies go out, and fewer: a zone that restarts
-// would else take a minute to be heard of. Corrections reach those whom two copies miss.
-const CROWD: usize = 20;
-const CROWD_COPIES: usize = 2;
+// Above this many queued updates there is only one round, with fewer copies: otherwise news of a restarting zone would
+// take a minute to spread. Processes that receive no copy are corrected later.
+const CONGESTION_THRESHOLD: usize = 20;
+const CONGESTED_COPIES: usize = 2;
 
-// After this a word travels no more. A datagram goes out three times a second.
-const LIFETIME: Duration = Duration::from_secs(8);
+// How long an update is forwarded. Each process sends three periodic datagrams a second.
+const UPDATE_LIFETIME: Duration = Duration::from_secs(8);
 
-/// The bytes that news may take in a second. With the datagrams of each second it leaves more than
-/// half of the 8 KB that a process may spend on control.
-pub const NEWS_BYTES: f64 = 3_000.0;
+/// Byte budget of broadcasts per second. Together with the periodic datagrams it uses less than half of the 8 KB per
+/// second that a process may spend on control traffic.
+pub const BROADCAST_BYTES_PER_S: f64 = 3_000.0;
 
-// News of some processes goes out at once.
-const BURST: f64 = 1_500.0;
+// Capacity of the token bucket: updates on a few processes are sent without delay.
+const BURST_BYTES: f64 = 1_500.0;
 
-struct Rumour {
+struct QueuedUpdate {
     word: Word,
-    born: Time,
-    // Rounds of copies that are done.
-    rounds: usize,
-    due: Time,
-    // Times it went along with a datagram of each second.
-    rides: u32,
+    queued_at: Time,
+    // Broadcast rounds already sent.
+    rounds_sent: usize,
+    next_round_at: Time,
+    // Periodic datagrams that it was piggybacked on.
+    piggybacks: u32,
 }
 
-/// A round of copies: the same words to each of `copies` peers.
+/// One datagram of a broadcast round, to be sent to each of `copies` peers.
 pub(crate) struct Round {
     pub(crate) copies: usize,
     pub(crate) words: Vec<Word>,
 }
 
-/// The words that travel.
+/// Membership updates that are being disseminated.
 pub(crate) struct Rumours {
-    // Ordered, so that equal histories pick equal words.
-    items: BTreeMap<MemberId, Rumour>,
-    // The process's own news: its state or configuration, which every datagram carries.
+    // An ordered map, so that the choice of updates is deterministic.
+    updates: BTreeMap<MemberId, QueuedUpdate>,
+    // Rounds sent and time of the next round for a change of the process's own state or configuration, which every
+    // datagram carries.
     own: Option<(usize, Time)>,
+    // Token bucket of bytes, and when it was last refilled.
     budget: f64,
-    filled: Time,
+    refilled_at: Time,
 }
 
 impl Rumours {
     pub(crate) fn new() -> Self {
         Rumours {
-            items: BTreeMap::new(),
+            updates: BTreeMap::new(),
             own: None,
-            budget: BURST,
-            filled: Time::ZERO,
+            budget: BURST_BYTES,
+            refilled_at: Time::ZERO,
         }
     }
 
-    /// Starts to pass on a word; it takes the place of an older one on the same process.
+    /// Queues an update, replacing an older one on the same process.
     pub(crate) fn add(&mut self, now: Time, word: Word) {
-        let rumour = Rumour {
+        let update = QueuedUpdate {
             word,
-            born: now,
-            rounds: 0,
-            due: now,
-            rides: 0,
+            queued_at: now,
+            rounds_sent: 0,
+            next_round_at: now,
+            piggybacks: 0,
         };
-        self.items.insert(word.id, rumour);
+        self.updates.insert(word.id, update);
     }
 
-    /// The process has news of its own, which any datagram carries.
+    /// Queues a change of the process's own state, which every datagram carries anyway.
     pub(crate) fn own_news(&mut self, now: Time) {
-        // Copies that are due already carry it as well.
-        let due = match self.own {
-            Some((0, due)) => due.min(now),
+        // A first round that is still due carries this change as well.
+        let next_round_at = match self.own {
+            Some((0, next_round_at)) => next_round_at.min(now),
             _ => now,
         };
-        self.own = Some((0, due));
+        self.own = Some((0, next_round_at));
     }
 
-    /// The rounds that are due. `cost` is the bytes of a datagram with so many words.
+    /// Returns the datagrams that are due now and fit the budget. `cost` is the size in bytes of a datagram with the given
+    /// number of updates.
     pub(crate) fn rounds(&mut self, now: Time, cost: impl Fn(usize) -> usize) -> Vec<Round> {
         self.refill(now);
-        // What the budget has held back so far is still to go out.
-        self.items
-            .retain(|_, rumour| rumour.rounds == 0 || now < rumour.born + LIFETIME);
+        // Expired updates that the budget has held back so far are still sent.
+        self.updates.retain(|_, update| {
+            update.rounds_sent == 0 || now < update.queued_at + UPDATE_LIFETIME
+        });
         let mut rounds = Vec::new();
-        let crowd = self.items.len() > CROWD;
-        let plan = if crowd {
-            &[CROWD_COPIES]
+        let congested = self.updates.len() > CONGESTION_THRESHOLD;
+        let copies_by_round = if congested {
+            &[CONGESTED_COPIES]
         } else {
             COPIES.as_slice()
         };
-        for (number, copies) in plan.iter().copied().enumerate() {
+        for (number, copies) in copies_by_round.iter().copied().enumerate() {
             let own = self
                 .own
-                .is_some_and(|(done, due)| done == number && due <= now);
+                .is_some_and(|(sent, next_round_at)| sent == number && next_round_at <= now);
             let mut due = self.due(now, number);
-            let mut first = own;
-            while first || !due.is_empty() {
+            let mut carries_own = own;
+            while carries_own || !due.is_empty() {
                 let bytes = |words| (copies * cost(words)) as f64;
-                // As many as the budget allows now: a datagram that never fits would hold up all.
+                // Send as many as fit the budget now: waiting for a full datagram that never fits would block all.
                 let fits =
                     (0..=due.len().min(MAX_WORDS)).rfind(|words| bytes(*words) <= self.budget);
                 let Some(fits) = fits.filter(|fits| *fits > 0 || due.is_empty()) else {
@@ -121,16 +125,16 @@
                 };
                 let rest = due.split_off(fits);
                 self.budget -= bytes(fits);
-                self.advance(now, &due, first);
+                self.advance(now, &due, carries_own);
                 rounds.push(Round { copies, words: due });
-                first = false;
+                carries_own = false;
                 due = rest;
             }
         }
         rounds
     }
 
-    /// Whether the budget allows a datagram of so many bytes besides; takes them from it.
+    /// Takes `bytes` from the budget for another datagram; false if they do not fit.
     pub(crate) fn afford(&mut self, now: Time, bytes: usize) -> bool {
         self.refill(now);
         let fits = self.budget >= bytes as f64;
@@ -140,43 +144,49 @@
         fits
     }
 
-    /// The words that ride with a datagram of each second: those that rode least.
+    /// Picks up to `most` updates to piggyback on a periodic datagram: those piggybacked least often so far.
     pub(crate) fn ride(&mut self, most: usize) -> Vec<Word> {
-        let mut order: Vec<_> = self.items.values().map(|r| (r.rides, r.word.id)).collect();
+        let mut order: Vec<_> = self
+            .updates
+            .values()
+            .map(|u| (u.piggybacks, u.word.id))
+            .collect();
         order.sort_unstable();
         order.truncate(most);
         let mut words = Vec::with_capacity(order.len());
         for (_, id) in order {
-            if let Some(rumour) = self.items.get_mut(&id) {
-                rumour.rides += 1;
-                words.push(rumour.word);
+            if let Some(update) = self.updates.get_mut(&id) {
+                update.piggybacks += 1;
+                words.push(update.word);
             }
         }
         words
     }
 
     fn refill(&mut self, now: Time) {
-        let fresh = NEWS_BYTES * now.since(self.filled).as_secs_f64();
-        self.budget = (self.budget + fresh).min(BURST);
-        self.filled = now;
+        let added = BROADCAST_BYTES_PER_S * now.since(self.refilled_at).as_secs_f64();
+        self.budget = (self.budget + added).min(BURST_BYTES);
+        self.refilled_at = now;
     }
 
     fn due(&self, now: Time, number: usize) -> Vec<Word> {
-        let due = self.items.values();
-        let due = due.filter(|rumour| rumour.rounds == number && rumour.due <= now);
-        due.map(|rumour| rumour.word).collect()
+        let due = self.updates.values();
+        let due = due.filter(|update| update.rounds_sent == number && update.next_round_at <= now);
+        due.map(|update| update.word).collect()
     }
 
     fn advance(&mut self, now: Time, words: &[Word], own: bool) {
         for word in words {
-            if let Some(rumour) = self.items.get_mut(&word.id) {
-                rumour.rounds += 1;
-                rumour.due = now + SECOND_ROUND;
+            if let Some(update) = self.updates.get_mut(&word.id) {
+                update.rounds_sent += 1;
+                update.next_round_at = now + ROUND_INTERVAL;
             }
         }
         if own {
             self.own = match self.own {
-                Some((done, _)) if done + 1 < COPIES.len() => Some((done + 1, now + SECOND_ROUND)),
+                Some((sent, _)) if sent + 1 < COPIES.len() => {
+                    Some((sent + 1, now + ROUND_INTERVAL))
+                }
                 _ => None,
             };
         }
--- a/lib/src/site.rs
+++ b/lib/src/site.rs
@@ -1,6 +1,6 @@
-//! What a deployment is told from outside: its routes, limits and workspaces, and its backend servers.
+//! Configuration of a deployment, and its directory: routes, limits, workspaces and backend servers.
 //!
-//! The platform's adapter decodes these from the platform's own form; all decisions read them here.
+//! The platform adapter decodes these types from the platform's own format; all other modules use only these types.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,92 +20,91 @@
 use crate::zone_evacuation::EvacuatedZones;
 
 copy_type! {
-    /// What may be repeated of a route's requests.
+    /// Which of a route's requests may be sent again.
     pub enum CallKind {
-        /// May run any number of times.
+        /// May be executed any number of times.
         Idempotent,
-        /// Runs once at most for each attempt of a caller.
+        /// Executed at most once per attempt of the caller.
         NonIdempotent,
-        /// Answers with a series of events. Runs once at most, but where its route says that it may be
-        /// resumed.
+        /// Answered by an event stream. Executed at most once, unless the route allows streams to be resumed.
         Streaming,
     }
 
-    /// What a backend server says of itself.
+    /// Lifecycle phase announced by a backend server.
     pub enum ServerPhase {
-        /// Takes work.
+        /// Accepts requests.
         Ready,
-        /// Is about to leave and takes no new work.
+        /// About to shut down; accepts no new requests.
         Draining,
     }
 }
 
 value_type! {
-    /// Where one share of a route's requests goes.
+    /// A weighted destination of a route.
     pub struct Share {
-        /// The service.
+        /// Service that receives this share of the requests.
         pub service: Name,
-        /// Its weight against the other shares; only the proportions count.
+        /// Relative weight among the route's shares.
         pub weight: u32,
     }
 
-    /// A rule that leads requests to services.
+    /// A rule that routes requests to services.
     pub struct Route {
-        /// The route's name.
+        /// Name of the route.
         pub name: Name,
-        /// The host that requests name, in lower case and without a port.
+        /// Host that requests must name, in lower case and without a port.
         pub host: Name,
-        /// The beginning of the path, from a slash to a slash.
+        /// Path prefix, starting and ending with a slash.
         pub prefix: Name,
-        /// What may be repeated.
+        /// Which requests may be sent again.
         pub kind: CallKind,
-        /// The longest time that a request may be kept.
+        /// Maximum time that a request may take.
         pub timeout: Duration,
-        /// The time within which an answer, or a stream's first event, is worth the most.
+        /// Latency objective for the answer, or for the first event of a stream.
         pub objective: Duration,
-        /// The longest pause between events that callers do not notice; zero where the route has none.
+        /// Objective for the gap between events: the longest that callers do not notice. Zero if the route has none.
         pub gap: Duration,
-        /// The rank among routes: 0 is the most urgent.
+        /// Priority among routes: 0 is the most urgent.
         pub priority: u32,
-        /// Where requests go; never empty.
+        /// Destinations; never empty.
         pub shares: Vec<Share>,
-        /// The most backend servers that one request may be sent to; at least 1.
+        /// Maximum number of backend servers that one request may be sent to; at least 1.
         pub attempts: u32,
-        /// Whether a stream may go on in another run, after the last event that its caller got.
+        /// Whether a stream may be resumed in another run, after the last event that its caller received.
         pub resumable: bool,
-        /// Whether requests need no key.
+        /// Whether requests are accepted without an API key.
         pub anonymous: bool,
-        /// Where requests may be served.
+        /// Regions in which requests may be served.
         pub regions: AllowedRegions,
     }
 
-    /// A workspace and its keys.
+    /// A workspace and its API keys.
     pub struct SiteWorkspace {
-        /// The workspace's name.
+        /// Name of the workspace.
         pub name: Name,
-        /// The keys that its callers show.
+        /// API keys of its callers.
         pub keys: Vec<Name>,
-        /// Its rank, which goes before the route's.
+        /// Priority that overrides the route's.
         pub priority: Option<u32>,
-        /// Where its requests may be served, beside what their route allows.
+        /// Regions in which its requests may be served. The route's restriction applies as well.
         pub regions: AllowedRegions,
     }
 
-    /// What callers may send, and how long they may take.
+    /// Limits on callers' connections and requests.
     pub struct CallerLimits {
-        /// The largest head of a request, in bytes.
+        /// Maximum size of a request head, in bytes.
         pub header: usize,
-        /// The largest body of a request, in bytes.
+        /// Maximum size of a request body, in bytes.
         pub body: usize,
-        /// The longest time to send a head.
+        /// Maximum time to receive a request head.
         pub header_time: Duration,
-        /// The longest time that a connection may be idle.
+        /// Maximum idle time of a connection.
         pub idle: Duration,
     }
 }
 
 impl Default for CallerLimits {
-    /// Holds until a configuration is known.
+    /// The limits in force until a configuration is loaded.
     fn default() -> Self {
         CallerLimits {
             header: 16 * 1024,
@@ -117,163 +116,163 @@
 }
 
 figure_type! {
-    /// What is common to the engines of a service.
+    /// Properties shared by the engines of a service.
     pub struct EngineSpec {
-        /// Requests that run at once.
+        /// Number of requests that one engine runs concurrently.
         pub slots: u32,
-        /// Tokens that the memory of one engine holds.
+        /// KV memory of one engine, in tokens.
         pub capacity: u64,
-        /// Bytes of memory for each token.
+        /// KV memory per token, in bytes.
         pub token_bytes: u64,
-        /// The rate of copies between engines, in megabits a second.
+        /// Bandwidth of copies between engines, in megabits per second.
         pub link_mbps: f64,
-        /// Whether running requests can be moved.
+        /// Whether running requests can be moved between engines.
         pub moves: bool,
-        /// Whether engines keep backups of runs of others.
+        /// Whether engines keep backups of other engines' runs.
         pub backups: bool,
-        /// Tokens in one event of a stream.
+        /// Tokens per stream event.
         pub stride: u32,
     }
 
-    /// A service.
+    /// Configuration of a service.
     pub struct ServiceSpec {
-        /// The path that says whether a backend server is well.
+        /// Path of the health check on a backend server.
         pub health: Name,
-        /// Connections that one backend server takes from all hosts together.
+        /// Maximum number of connections to one backend server, from all hosts together.
         pub connections: u32,
-        /// The engine's figures; `None` for a plain service.
+        /// Engine properties; `None` for a plain service.
         pub engine: Option<EngineSpec>,
-        /// How its servers start.
+        /// Cold-start limits of its servers.
         pub cold: ColdStart,
     }
 
-    /// One version of the operator's configuration, whole.
+    /// One complete version of the operator's configuration.
     #[derive(Default)]
     pub struct SiteConfig {
-        /// Grows with every accepted change, in uneven steps.
+        /// Version number. Increases with every accepted change, but not necessarily by one.
         pub version: u64,
-        /// The routes.
+        /// Routes.
         pub routes: Vec<Route>,
-        /// The services by name.
+        /// Services by name.
         pub services: BTreeMap<Name, ServiceSpec>,
-        /// The callers' limits.
+        /// Limits on callers.
         pub limits: CallerLimits,
-        /// The workspaces; where there is none, no request needs a key.
+        /// Workspaces. If there are none, no request needs a key.
         pub workspaces: Vec<SiteWorkspace>,
     }
 }
 
 value_type! {
-    /// One life of a backend server, as it says of itself.
+    /// One incarnation of a backend server, as registered by itself.
     pub struct ServerRecord {
-        /// Its identifier, which may come back with another `born`.
+        /// Identifier. A later incarnation may reuse it with another `born`.
         pub id: Name,
-        /// Its service.
+        /// Service that it belongs to.
         pub service: Name,
-        /// Where it takes requests.
+        /// Address at which it accepts requests.
         pub address: SocketAddr,
-        /// Its availability zone.
+        /// Availability zone that it runs in.
         pub zone: Name,
-        /// Requests that run there at once.
+        /// Number of requests that it runs concurrently.
         pub slots: u32,
-        /// Whether it takes work.
+        /// Lifecycle phase.
         pub phase: ServerPhase,
-        /// How much longer it is cold, as of its word.
+        /// Remaining cold time when the record was written.
         pub cold: Duration,
-        /// When it started, in milliseconds since 1970: tells its lives apart.
+        /// Start time in milliseconds since the Unix epoch. Distinguishes incarnations.
         pub born: u64,
     }
 
-    /// All backend servers at one revision.
+    /// The backend servers at one revision of the directory.
     #[derive(Default)]
     pub struct ServerListing {
-        /// The servers whose record can be read.
+        /// Servers whose record could be decoded.
         pub servers: Vec<ServerRecord>,
-        /// Where a watch goes on.
+        /// Revision from which to watch for changes.
         pub revision: Revision,
     }
 
-    /// One change of the list of backend servers.
+    /// A change of one backend server's record.
     pub enum ServerChange {
-        /// The server is there, or has changed.
+        /// The server was added or changed.
         Put(ServerRecord),
-        /// The identifier names no usable server any more.
+        /// No usable server has this identifier any more.
         Gone(Name),
     }
 
-    /// Changes in their order.
+    /// Changes returned by a watch, in order.
     pub struct ServerChanges {
-        /// The changes; empty where the wait ended first.
+        /// Changes; empty if the wait timed out.
         pub changes: Vec<ServerChange>,
-        /// Where the next watch goes on.
+        /// Revision from which to continue watching.
         pub revision: Revision,
     }
 
-    /// Where a process of the system is reached by the others.
+    /// Address and role of one of the system's processes, for its peers.
     pub struct PeerRecord {
-        /// The host's name.
+        /// Host name.
         pub name: Name,
-        /// Where it takes datagrams and connections of other processes.
+        /// Address for datagrams and connections from other processes.
         pub address: SocketAddr,
-        /// Its availability zone.
+        /// Availability zone that it runs in.
         pub zone: Name,
-        /// Whether it takes callers.
+        /// Whether it is an entry, which serves callers.
         pub entry: bool,
     }
 }
 
-/// What can go wrong with a question to the directory.
+/// Error of a directory operation.
 #[derive(Clone, Debug, Error, Eq, PartialEq)]
 pub enum DirectoryError {
-    /// The history from the given revision on is gone, or the store has gone back to an older copy of itself.
-    #[error("the history is gone; list again")]
+    /// The changes since the given revision are no longer available, or the store was restored from an older copy.
+    #[error("the change history since this revision is no longer available; list again")]
     HistoryGone,
-    /// The directory did not take the call.
+    /// The directory refused the call.
     #[error("the directory refused the call ({0}); try again later")]
     Refused(String),
-    /// No answer came.
-    #[error("no answer of the directory ({0}); try again over another connection")]
+    /// The call was not answered.
+    #[error("no answer from the directory ({0}); try again over another connection")]
     Lost(String),
-    /// The answer cannot be read.
-    #[error("the directory's answer cannot be read ({0}); check the versions on both sides")]
+    /// The answer could not be decoded.
+    #[error("cannot decode the directory's answer ({0}); check the versions on both sides")]
     Malformed(String),
 }
 
-/// The result of a question to the directory.
+/// Result of a directory operation.
 pub type Result<T> = std::result::Result<T, DirectoryError>;
 
-/// Where the deployment's configuration and its backend servers are read.
+/// Client of the directory service, which stores the deployment's configuration and its backend servers.
 #[async_trait]
 pub trait Directory: Send + Sync {
-    /// The newest configuration, and where a watch on it goes on; `None` where there is none yet.
+    /// Returns the latest configuration, or `None` if there is none yet, and the revision from which to watch it.
     async fn config(&self) -> Result<(Option<Arc<SiteConfig>>, Revision)>;
 
-    /// Waits for a configuration after `after`; `None` where none came within `wait`.
+    /// Waits up to `wait` for a configuration later than `after`; `None` on timeout.
     async fn next_config(
         &self,
         after: Revision,
         wait: Duration,
     ) -> Result<(Option<Arc<SiteConfig>>, Revision)>;
 
-    /// All backend servers.
+    /// Lists all backend servers.
     async fn servers(&self) -> Result<ServerListing>;
 
-    /// Waits for changes after `after`.
+    /// Waits up to `wait` for changes of the backend servers later than `after`.
     async fn next_servers(&self, after: Revision, wait: Duration) -> Result<ServerChanges>;
 
-    /// The evacuated availability zones.
+    /// Returns the evacuated availability zones.
     async fn evacuations(&self) -> Result<EvacuatedZones>;
 
-    /// Waits until the zones differ from those `known`, and returns all; `known` itself where none came within `wait`.
+    /// Waits up to `wait` for the set of evacuated zones to differ from `known`, and returns it; `known` itself on timeout.
     async fn next_evacuations(
         &self,
         known: &EvacuatedZones,
         wait: Duration,
     ) -> Result<EvacuatedZones>;
 
-    /// Writes where this process is reached.
+    /// Registers the address and role of this process.
     async fn register(&self, peer: &PeerRecord) -> Result<()>;
 
-    /// Where all processes are reached, as far as they have written it; may be seconds old.
+    /// Lists the registered processes. The list may be seconds old.
     async fn peers(&self) -> Result<Vec<PeerRecord>>;
 }
