--- a/lib/tests/cold_start.rs
+++ b/lib/tests/cold_start.rs
@@ -1,4 +1,4 @@
-//! Requests to servers that are cold, sent by entries that do not hear each other.
+//! Requests to cold servers, sent by entries that do not communicate.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,15 +23,15 @@
 use testutils::site;
 
 const CAPACITY: u64 = 27_000;
-const WARM: u16 = 35;
-const COLD: u16 = 7;
-const SECOND: u64 = 1_000;
+const WARM_SERVERS: u16 = 35;
+const COLD_SERVERS: u16 = 7;
+const SECOND_MS: u64 = 1_000;
 
-/// When the cold servers return, in milliseconds.
-const RETURN: u64 = 2_000;
+/// When the cold servers restart, in milliseconds.
+const RESTART: u64 = 2_000;
 
-/// What may arrive at a cold server in a second, of a rate that it tolerates.
-fn bound(rate: f64) -> usize {
+/// Maximum arrivals per second at a cold server that tolerates `rate`.
+fn max_arrivals(rate: f64) -> usize {
     (rate * 1.5 + 5.0) as usize
 }
 
@@ -44,7 +44,7 @@
 }
 
 fn record(number: u16, cold: Duration) -> ServerRecord {
-    let zone = if number < WARM { "a" } else { "b" };
+    let zone = if number < WARM_SERVERS { "a" } else { "b" };
     ServerRecord {
         cold,
         ..site::server(&format!("i-{number}"), engine(number), zone, 24)
@@ -62,7 +62,7 @@
     let here = EngineHere {
         address: engine(number),
         service: Name::new("llm"),
-        zone: Name::new(if number < WARM { "a" } else { "b" }),
+        zone: Name::new(if number < WARM_SERVERS { "a" } else { "b" }),
     };
     let load = EngineLoad {
         used,
@@ -74,23 +74,25 @@
     fleet.report(now, &here, &load);
 }
 
-/// An entry that knows all servers but the cold ones, all of them nearly full, and `entries` in all.
+/// The fleet view of one of `entries` entries, which knows the warm servers but not the cold ones.
 fn fleet(number: usize, entries: usize) -> Fleet {
     let regions = ["a", "b"].map(|zone| (Name::new(zone), Name::new("r")));
     let mut fleet = Fleet::new(Place {
         zone: Name::new("a"),
         regions: HashMap::from(regions),
     });
-    let records: Vec<ServerRecord> = (0..WARM).map(|n| record(n, Duration::ZERO)).collect();
+    let records: Vec<ServerRecord> = (0..WARM_SERVERS)
+        .map(|n| record(n, Duration::ZERO))
+        .collect();
     fleet.set_all(Time::ZERO, &records);
     fleet.set_entries(entry(number), (0..entries).map(entry));
     fleet
 }
 
-/// Sends to cold servers while they are cold, and afterwards.
+/// Arrivals at the restarted servers.
 struct Outcome {
-    // The most arrivals at one of them in a second.
-    most: usize,
+    // Maximum arrivals at one server within any second of its cold period.
+    peak: usize,
     // Arrivals at all of them while cold, and in the second after.
     cold: usize,
     warm: usize,
@@ -98,8 +100,8 @@
     refused: usize,
 }
 
-/// Entries send `per_second` streams in all for some seconds; in the middle a zone returns cold, and nobody has
-/// heard of what others send. A third of the entries has started again a moment before.
+/// Simulates entries that send `per_second` streams in total while the servers of a zone restart cold. Entries get no
+/// information on what the others send, and a third of them restart just before the servers do.
 fn replay(entries: usize, per_second: u64, start: &ColdStart) -> Outcome {
     let mut fleets: Vec<Fleet> = (0..entries).map(|n| fleet(n, entries)).collect();
     let service = Name::new("llm");
@@ -107,29 +109,30 @@
     let mut arrivals: HashMap<SocketAddr, Vec<u64>> = HashMap::new();
     let mut refused = 0;
     let mut rng = fastrand::Rng::with_seed(7);
-    let warm = RETURN + start.period.as_millis() as u64;
-    for ms in 0..warm + 2 * SECOND {
+    let warm = RESTART + start.period.as_millis() as u64;
+    for ms in 0..warm + 2 * SECOND_MS {
         let now = Time::from_millis(ms);
-        if ms == RETURN {
+        if ms == RESTART {
             for (number, fleet) in fleets.iter_mut().enumerate() {
                 if number % 3 == 0 {
                     *fleet = self::fleet(number, entries);
                 }
-                for number in WARM..WARM + COLD {
-                    let back = record(number, start.period);
-                    fleet.change(now, &ServerChange::Put(back));
+                for number in WARM_SERVERS..WARM_SERVERS + COLD_SERVERS {
+                    let restarted = record(number, start.period);
+                    fleet.change(now, &ServerChange::Put(restarted));
                 }
             }
         }
         if ms.is_multiple_of(400) {
             for fleet in &mut fleets {
-                (0..WARM).for_each(|number| report(fleet, now, number, CAPACITY * 9 / 10));
-                if ms > RETURN {
-                    (WARM..WARM + COLD).for_each(|number| report(fleet, now, number, 6_000));
+                (0..WARM_SERVERS).for_each(|number| report(fleet, now, number, CAPACITY * 9 / 10));
+                if ms > RESTART {
+                    (WARM_SERVERS..WARM_SERVERS + COLD_SERVERS)
+                        .for_each(|number| report(fleet, now, number, 6_000));
                 }
             }
         }
-        if !(ms * per_second).is_multiple_of(SECOND) && per_second < SECOND {
+        if !(ms * per_second).is_multiple_of(SECOND_MS) && per_second < SECOND_MS {
             continue;
         }
         let fleet = &mut fleets[rng.usize(..entries)];
@@ -140,30 +143,31 @@
         };
         fleet.started(now, key, &need);
         let address = fleet.record(key).expect("chosen").address;
-        if address.ip() >= engine(WARM).ip() {
+        if address.ip() >= engine(WARM_SERVERS).ip() {
             arrivals.entry(address).or_default().push(ms);
         }
     }
     let all = || arrivals.values().flatten();
     let within = |times: &Vec<u64>, from: u64| {
-        let to = from + SECOND;
+        let to = from + SECOND_MS;
         times.iter().filter(|at| (from..to).contains(*at)).count()
     };
-    let last = warm.saturating_sub(SECOND).max(RETURN);
-    let windows = (RETURN..=last).flat_map(|from| arrivals.values().map(move |t| within(t, from)));
+    let last = warm.saturating_sub(SECOND_MS).max(RESTART);
+    let windows = (RESTART..=last).flat_map(|from| arrivals.values().map(move |t| within(t, from)));
     Outcome {
-        most: windows.max().unwrap_or_default(),
+        peak: windows.max().unwrap_or_default(),
         cold: all().filter(|at| **at < warm).count(),
         warm: all()
-            .filter(|at| (warm..warm + SECOND).contains(*at))
+            .filter(|at| (warm..warm + SECOND_MS).contains(*at))
             .count(),
         refused,
     }
 }
 
-/// Guards against a zone that returns cold and emptiest of all into a burst, and is sent all of it.
+/// Guards against overload of a zone that restarts during a burst: its cold servers are the least loaded, so every
+/// entry would send the whole burst there.
 #[test]
-fn a_zone_that_returns_cold_gets_what_it_tolerates_and_is_used() {
+fn a_zone_that_restarts_cold_is_used_within_its_limit() {
     for (entries, rate, period) in [
         (5, 31.0, 1),
         (29, 31.0, 1),
@@ -176,27 +180,37 @@
             period: Duration::from_secs(period),
             rate,
         };
-        let unbounded = ColdStart {
+        let without_limit = ColdStart {
             rate: 0.0,
             ..start.clone()
         };
-        let free = replay(entries, 1_000, &unbounded);
-        assert!(free.most > bound(rate), "{entries} entries: {}", free.most);
-        let bounded = replay(entries, 1_000, &start);
+        let unlimited = replay(entries, 1_000, &without_limit);
+        assert!(
+            unlimited.peak > max_arrivals(rate),
+            "{entries} entries: {}",
+            unlimited.peak
+        );
+        let limited = replay(entries, 1_000, &start);
         let Outcome {
-            most, cold, warm, ..
-        } = bounded;
-        assert!(most <= bound(rate), "{entries} entries: {most} in a second");
-        let tolerated = rate * period as f64 * f64::from(COLD);
+            peak, cold, warm, ..
+        } = limited;
+        assert!(
+            peak <= max_arrivals(rate),
+            "{entries} entries: {peak} in a second"
+        );
+        let tolerated = rate * period as f64 * f64::from(COLD_SERVERS);
         assert!(cold as f64 >= 0.5 * tolerated, "{entries} entries: {cold}");
-        assert!(warm as f64 >= 0.8 * free.warm as f64, "{warm} once warm");
-        assert_eq!(bounded.refused, 0);
+        assert!(
+            warm as f64 >= 0.8 * unlimited.warm as f64,
+            "{warm} after the cold period"
+        );
+        assert_eq!(limited.refused, 0);
     }
 }
 
-/// Guards against an entry that takes the whole rate for its own before it knows the others.
+/// Guards against an entry that uses the whole rate itself because it does not know the other entries yet.
 #[test]
-fn an_entry_that_knows_no_others_sends_nothing_to_a_cold_server() {
+fn an_entry_that_does_not_know_the_others_sends_nothing_to_a_cold_server() {
     let start = ColdStart {
         period: Duration::from_secs(1),
         rate: 31.0,
@@ -216,9 +230,10 @@
     assert!(fleet.choose(later, &need, &spec(start)).is_ok());
 }
 
-/// Guards against a server that is cold again, or whose start only its scout has seen.
+/// Guards against overload of a server whose restart is missed: one that becomes cold again, whose record is outdated,
+/// or whose restart is only announced by its scout.
 #[test]
-fn every_word_of_a_cold_server_counts() {
+fn every_announcement_of_a_cold_server_counts() {
     let start = ColdStart {
         period: Duration::from_secs(2),
         rate: 31.0,
@@ -226,28 +241,32 @@
     let mut fleet = fleet(0, 31);
     let service = Name::new("llm");
     let key = |fleet: &Fleet| fleet.key_at(engine(0)).expect("listed");
-    let taken = |fleet: &mut Fleet, ms: u64| {
-        let among = [key(fleet)];
+    let accepted = |fleet: &mut Fleet, ms: u64| {
+        let candidates = [key(fleet)];
         let need = Need {
-            among: Some(&among),
+            among: Some(&candidates),
             ..Need::new(&service, 2_500, 2_900)
         };
         let now = Time::from_millis(ms);
         let mut sent = 0;
         while sent < 10 && fleet.choose(now, &need, &spec(start.clone())).is_ok() {
-            fleet.started(now, among[0], &need);
+            fleet.started(now, candidates[0], &need);
             sent += 1;
         }
         sent
     };
-    assert_eq!(taken(&mut fleet, 10), 10, "it is warm");
-    let told = ServerChange::Put(record(0, Duration::from_secs(2)));
-    fleet.change(Time::from_millis(2_000), &told);
-    assert_eq!(taken(&mut fleet, 2_010), 1, "by the list");
-    let former = ServerChange::Put(record(0, Duration::ZERO));
-    fleet.change(Time::from_millis(2_020), &former);
-    assert_eq!(taken(&mut fleet, 3_900), 1, "an older word does not end it");
-    assert_eq!(taken(&mut fleet, 5_100), 10, "it is warm again");
+    assert_eq!(accepted(&mut fleet, 10), 10, "warm at first");
+    let announced = ServerChange::Put(record(0, Duration::from_secs(2)));
+    fleet.change(Time::from_millis(2_000), &announced);
+    assert_eq!(accepted(&mut fleet, 2_010), 1, "announced by its record");
+    let outdated = ServerChange::Put(record(0, Duration::ZERO));
+    fleet.change(Time::from_millis(2_020), &outdated);
+    assert_eq!(
+        accepted(&mut fleet, 3_900),
+        1,
+        "an outdated record does not end the cold period"
+    );
+    assert_eq!(accepted(&mut fleet, 5_100), 10, "warm again");
     let here = EngineHere {
         address: engine(0),
         service: service.clone(),
@@ -259,14 +278,14 @@
         ..EngineLoad::default()
     };
     fleet.report(Time::from_millis(7_000), &here, &load);
-    assert_eq!(taken(&mut fleet, 7_001), 1, "by its scout");
+    assert_eq!(accepted(&mut fleet, 7_001), 1, "announced by its scout");
     assert!(fleet.identified(Time::from_millis(9_000), &here, &Name::new("i-other")));
-    assert_eq!(taken(&mut fleet, 9_001), 1, "another incarnation");
+    assert_eq!(accepted(&mut fleet, 9_001), 1, "another incarnation");
 }
 
 quickcheck! {
-    /// All entries together stay within the rate, however many there are and whichever server it is.
-    fn shares_add_up_to_the_rate(entries: u16, rate: u16, server: u16) -> TestResult {
+    /// The shares of all entries add up to at most the rate, for any number of entries and any server.
+    fn shares_stay_within_the_rate(entries: u16, rate: u16, server: u16) -> TestResult {
         let (entries, rate) = (usize::from(entries % 400) + 1, f64::from(rate % 60) + 1.0);
         let start = ColdStart { period: Duration::from_secs(1), rate };
         let shares = (0..entries).map(|own| {
--- a/lib/tests/move_plan.rs
+++ b/lib/tests/move_plan.rs
@@ -1,5 +1,5 @@
-//! Load pattern: an engine with eight long runs and some short ones says that it is there for 1.6 s
-//! more. One copy at a time fits on its link.
+//! Load pattern: an engine with eight long runs and some short ones announces that it shuts down in 1.6 s. Its link
+//! carries one copy at a time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use cicada_lib::move_plan::target_for;
 use quickcheck::QuickCheck;
 
-/// The time that the link takes for a token: 18,432 bytes at 2,700 Mbit/s.
+/// Copy time per token: 18,432 bytes at 2,700 Mbit/s.
 const TOKEN_TIME: Duration = Duration::from_nanos(54_600);
 
-const NOTICE: Duration = Duration::from_millis(1_600);
+const SHUTDOWN_NOTICE: Duration = Duration::from_millis(1_600);
 
 fn run(id: &str, tokens: u64, events: u64, short: bool) -> EngineRun {
     EngineRun {
@@ -41,14 +41,14 @@
     }
 }
 
-/// The runs that are off in time when they go in the given order.
-fn saved<'a>(runs: impl Iterator<Item = &'a EngineRun>) -> usize {
-    let mut left = NOTICE;
+/// Number of runs that are copied in time if they move in the given order.
+fn moved_in_time<'a>(runs: impl Iterator<Item = &'a EngineRun>) -> usize {
+    let mut remaining = SHUTDOWN_NOTICE;
     let copies = runs.map(|run| TOKEN_TIME * run.tokens as u32);
     copies
-        .take_while(|copy| match left.checked_sub(*copy) {
+        .take_while(|copy| match remaining.checked_sub(*copy) {
             Some(rest) => {
-                left = rest;
+                remaining = rest;
                 true
             }
             None => false,
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn as_many_runs_as_possible_are_off_in_time() {
+fn as_many_runs_as_possible_move_in_time() {
     let sizes = [6_100, 3_300, 5_900, 2_600, 4_800, 3_900, 3_100, 2_900];
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let runs: Vec<EngineRun> = names
@@ -73,26 +73,23 @@
     }
     assert_eq!(order.len(), runs.len());
     assert!(
-        saved(order.iter()) > saved(runs.iter()),
-        "no better than as they came"
+        moved_in_time(order.iter()) > moved_in_time(runs.iter()),
+        "no better than in the reported order"
     );
-    assert_eq!(saved(order.iter()), 7);
+    assert_eq!(moved_in_time(order.iter()), 7);
 }
 
 #[test]
-fn short_runs_end_by_themselves() {
+fn short_runs_stay() {
     let runs = [run("check", 2_200, 3, true), run("draft", 4_000, 3, false)];
     assert_eq!(next_run(&runs, &[]).unwrap().id, Name::new("draft"));
     assert_eq!(next_run(&runs, &[Name::new("draft")]), None);
-    let long_after_all = [run("check", 2_200, 30, true)];
-    assert_eq!(
-        next_run(&long_after_all, &[]).unwrap().id,
-        Name::new("check")
-    );
+    let outgrown = [run("check", 2_200, 30, true)];
+    assert_eq!(next_run(&outgrown, &[]).unwrap().id, Name::new("check"));
 }
 
 #[test]
-fn a_run_goes_where_the_most_room_is() {
+fn a_run_moves_to_the_target_with_the_most_free_memory() {
     let targets = [target(1, 30_000), target(2, 12_000), target(3, 20_000)];
     assert_eq!(target_for(4_000, &targets, &[]).unwrap().address.port(), 2);
     let refused = [targets[1].address];
@@ -112,7 +109,7 @@
 }
 
 #[test]
-fn ranks_keep_the_order_of_priorities_and_tell_short_from_long() {
+fn ranks_preserve_priority_order_and_encode_shortness() {
     fn property(one: u32, other: u32, short: bool) -> bool {
         let (low, high) = (one.min(other) % 5, one.max(other) % 5);
         let (low, high) = (low.min(high), low.max(high));
@@ -122,17 +119,20 @@
     QuickCheck::new().quickcheck(property as fn(u32, u32, bool) -> bool);
 }
 
-/// Load pattern: two engines of one availability zone leave at the same time. Each has targets of its
-/// own, so that no copy waits on a link for one of the other engine, and falls back to the others.
+/// Two engines of one availability zone drain at the same time. Each has its own targets, so that no copy waits on a
+/// link for one from the other engine, and falls back to the other targets if its own are full.
 #[test]
-fn engines_that_leave_together_do_not_meet_at_one_target() {
+fn engines_that_drain_together_use_different_targets() {
     let address = |last: u8| SocketAddr::from(([10, 0, 0, last], 8_701));
     let (one, other) = (address(1), address(2));
     for place in 0..6 {
         let first = falls_to(one, &[other], place);
         let second = falls_to(other, &[one], place);
-        assert!(first != second, "target {place} falls to one of them");
-        assert!(falls_to(one, &[], place), "alone it has all");
+        assert!(
+            first != second,
+            "target {place} is assigned to exactly one engine"
+        );
+        assert!(falls_to(one, &[], place), "a single engine has all targets");
     }
     let mut targets = [target(1, 2_000), target(2, 20_000)];
     targets[0].own = false;
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_near_target_is_preferred_and_a_far_one_is_better_than_none() {
+fn targets_in_the_same_zone_are_preferred_but_not_required() {
     let mut targets = [target(1, 2_000), target(2, 20_000)];
     targets[0].near = false;
     assert_eq!(target_for(4_000, &targets, &[]).unwrap().address.port(), 2);
@@ -150,9 +150,9 @@
     assert_eq!(target_for(4_000, &targets, &[]).unwrap().address.port(), 1);
 }
 
-/// Guards against runs that are moved to an engine in need while another one has room.
+/// Guards against runs that are moved to a cold or limited engine although another one has enough memory.
 #[test]
-fn cold_and_limited_engines_are_the_last_targets() {
+fn cold_and_limited_engines_are_the_last_choice() {
     let limited = Target {
         limited: true,
         ..target(1, 1_000)
@@ -161,8 +161,8 @@
         cold: true,
         ..target(2, 1_000)
     };
-    let usual = target(3, 20_000);
-    let all = [limited.clone(), cold, usual];
+    let unrestricted = target(3, 20_000);
+    let all = [limited.clone(), cold, unrestricted];
     let chosen = target_for(3_000, &all, &[]).map(|target| target.address.port());
     assert_eq!(chosen, Some(3));
     let alone = target_for(3_000, std::slice::from_ref(&limited), &[]);
--- a/lib/tests/placement.rs
+++ b/lib/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where a hundred relays send their streams, by reports that are up to a second old and by asking.
+//! Placement of streams by a hundred relays, by stale load reports and by probing scouts.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 const SEEDS: [u64; 2] = [1, 2];
 
-/// Milliseconds between two reports of an engine to the same relay.
+/// Intervals, in milliseconds, at which an engine reports to the same relay.
 const INTERVALS: [u64; 3] = [300, 700, 1_000];
 
 fn play(choice: Choice, interval: u64, seconds: u64) -> Vec<Outcome> {
@@ -30,19 +30,19 @@
     outcomes.iter().map(figure).sum::<f64>() / outcomes.len() as f64
 }
 
-/// Load pattern: a hundred relays before a hundred engines, which are busy for three fifths of the time. Each relay takes
-/// the engine that looks best by reports which are 0.7 s apart: streams meet there, and a tenth and more of the
-/// callers see their first event late, with idle engines beside.
+/// Baseline without probing: a hundred relays in front of a hundred engines at 60% utilization. If each relay picks the
+/// engine that looks best by reports 0.7 s apart, streams collide there, and more than a tenth of the callers get their
+/// first event late while other engines are idle.
 #[test]
-fn relays_that_choose_by_old_reports_meet_at_one_engine() {
+fn relays_that_choose_by_stale_reports_collide() {
     let late = mean(&play(Choice::Reports, 700, 10), Outcome::late);
     assert!(late > 0.1, "{late}");
 }
 
-/// The same load. Relays that ask a few scouts at the moment of the choice keep 98 of 100 callers in time, and
-/// the usual one nearly as soon as at an idle engine, however old the reports are.
+/// The same load with probing: 98% of the callers get their first event in time, and the median is close to that of an
+/// idle engine, whatever the report interval.
 #[test]
-fn relays_that_ask_do_not() {
+fn relays_that_probe_do_not_collide() {
     for interval in INTERVALS {
         let outcomes = play(Choice::Asking, interval, 10);
         let late = mean(&outcomes, Outcome::late);
@@ -52,9 +52,9 @@
     }
 }
 
-/// The same load for long enough that a single prompt counts for little: no engine reads much more than the mean.
+/// The same load, long enough that a single prompt has little weight: no engine prefills much more than the mean.
 #[test]
-fn engines_that_are_asked_share_the_load() {
+fn probing_spreads_the_load() {
     let busiest = mean(&play(Choice::Asking, 1_000, 80), Outcome::busiest);
     assert!(busiest < 1.1, "{busiest}");
 }
@@ -76,8 +76,8 @@
     candidates.collect()
 }
 
-fn reaches(options: &[Candidate], asked: &[ServerKey]) -> Vec<Reach> {
-    let found = asked
+fn reaches(options: &[Candidate], probed: &[ServerKey]) -> Vec<Reach> {
+    let found = probed
         .iter()
         .filter_map(|key| options.iter().find(|c| c.key == *key));
     let mut reaches: Vec<Reach> = found.map(|c| c.reach).collect();
@@ -85,10 +85,10 @@
     reaches
 }
 
-/// Engines of the own availability zone and region are asked first, others only where all of these are too
-/// crowded, or there are none.
+/// Engines of the local availability zone and region are probed first, others only in the second round or if there are
+/// no local ones.
 #[test]
-fn near_engines_are_asked_first() {
+fn near_engines_are_probed_first() {
     let mut rng = fastrand::Rng::with_seed(1);
     let all = options(20, 20, 80);
     let first = placement::probe_targets(Round::First, &all, &mut rng);
@@ -102,29 +102,32 @@
     assert!(placement::probe_targets(Round::First, &[], &mut rng).is_empty());
 }
 
-/// No engine is drawn always, and none is asked twice for one request.
+/// Engines are drawn at random, so that relays probe different ones, and none is probed twice for one request.
 #[test]
-fn relays_ask_different_engines() {
+fn relays_probe_different_engines() {
     let all = options(20, 20, 0);
     let mut counts = std::collections::HashMap::new();
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut asked = placement::probe_targets(Round::First, &all, &mut rng);
-        asked.sort();
-        let count = asked.len();
-        asked.dedup();
-        assert_eq!(asked.len(), count);
-        for key in asked {
+        let mut probed = placement::probe_targets(Round::First, &all, &mut rng);
+        probed.sort();
+        let count = probed.len();
+        probed.dedup();
+        assert_eq!(probed.len(), count);
+        for key in probed {
             *counts.entry(key).or_insert(0) += 1;
         }
     }
     let most = counts.values().max().copied().unwrap_or_default();
-    assert!(most < 100, "one engine was asked {most} times of 200");
+    assert!(
+        most < 100,
+        "one engine was probed {most} times in 200 rounds"
+    );
 }
 
-/// Reports that come several times while a prompt is read are good enough.
+/// Reports that arrive several times during one prefill are recent enough to choose by.
 #[test]
-fn fresh_reports_are_not_dated() {
+fn frequent_reports_are_not_too_sparse() {
     assert!(!placement::reports_too_sparse(Duration::from_millis(30)));
     assert!(placement::reports_too_sparse(Duration::from_millis(700)));
 }
--- a/lib/tests/reading_rate.rs
+++ b/lib/tests/reading_rate.rs
@@ -1,50 +1,50 @@
-//! How quickly an engine reads prompts, by what the process beside it sees.
+//! Estimation of an engine's prefill rate from samples.
 
 use cicada_lib::reading_rate::PRIOR;
 use cicada_lib::reading_rate::ReadingRate;
 use cicada_lib::time::Time;
 
-/// Looks each 30 ms at an engine that reads prompts of 2,400 tokens at the rate, for so many milliseconds.
-fn watched(rate: f64, ms: u64) -> ReadingRate {
+/// Samples an engine every 30 ms, for `ms` milliseconds, while it prefills prompts of 2,400 tokens at `rate`.
+fn sampled(rate: f64, ms: u64) -> ReadingRate {
     let mut estimate = ReadingRate::default();
-    let mut read = 0.0;
+    let mut prefilled = 0.0;
     for at in (0..ms).step_by(30) {
-        read += rate * 30.0;
-        let begun = (read / 2_400.0) as u64 * 2_400;
-        read -= begun as f64;
+        prefilled += rate * 30.0;
+        let begun = (prefilled / 2_400.0) as u64 * 2_400;
+        prefilled -= begun as f64;
         estimate.looked(Time::from_millis(at), true, begun);
     }
     estimate
 }
 
-/// Guards against prompts that are taken to be read at another engine's rate.
+/// Guards against a rate that stays at the prior instead of converging to that of the engine.
 #[test]
-fn the_rate_of_the_engine_is_found_out() {
+fn the_estimate_converges_to_the_rate_of_the_engine() {
     let prior = ReadingRate::default().per_ms();
     assert!((prior - PRIOR).abs() < 1e-6, "{prior}");
     for rate in [1.5, 4.0, 7.0, 14.0] {
-        let found = watched(rate, 30_000).per_ms();
+        let found = sampled(rate, 30_000).per_ms();
         let error = (found - rate).abs() / rate;
         assert!(error < 0.25, "{found} of {rate}");
     }
 }
 
-/// Guards against an engine that was idle, or not watched, and is taken for a slow one.
+/// Guards against an engine that looks slow because it was idle, or not observed.
 #[test]
-fn only_the_time_of_reading_counts() {
-    let mut estimate = watched(10.0, 20_000);
+fn only_busy_time_counts() {
+    let mut estimate = sampled(10.0, 20_000);
     let before = estimate.per_ms();
     for at in (20_000..30_000).step_by(30) {
         estimate.looked(Time::from_millis(at), false, 0);
     }
-    // The first look closes the time before it, in which a prompt was being read.
+    // The first idle sample still ends an interval in which a prompt was being prefilled.
     assert!((estimate.per_ms() - before).abs() < 0.1 * before);
     let before = estimate.per_ms();
     estimate.looked(Time::from_millis(90_000), true, 0);
     assert_eq!(estimate.per_ms(), before);
 }
 
-/// Guards against reports without sense, by which an engine would get everything or nothing.
+/// Guards against nonsensical reports that would give an engine all requests or none.
 #[test]
 fn the_estimate_is_bounded() {
     let mut estimate = ReadingRate::default();
--- a/lib/tests/residency.rs
+++ b/lib/tests/residency.rs
@@ -1,4 +1,4 @@
-//! In which regions a request may be served.
+//! Regions in which a request may be served.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -55,15 +55,15 @@
 }
 
 #[test]
-fn route_and_workspace_bind_at_once() {
+fn route_and_workspace_restrictions_both_apply() {
     let table = table(1, only(&["north", "south"]), only(&["south", "west"]));
     assert_eq!(admitted(&table, Some("key")).regions, only(&["south"]));
     assert_eq!(admitted(&table, None).regions, only(&["north", "south"]));
 }
 
-/// Guards against an empty intersection that is taken for no restriction.
+/// Guards against an empty intersection that is treated as no restriction.
 #[test]
-fn regions_that_exclude_each_other_leave_none() {
+fn disjoint_restrictions_allow_no_region() {
     let table = table(1, only(&["north"]), only(&["south"]));
     let regions = admitted(&table, Some("key")).regions;
     for region in ["north", "south", "unknown"] {
@@ -71,9 +71,10 @@
     }
 }
 
-/// Guards against a retry or a move by the restriction of the version that admitted the request.
+/// Guards against a retry or move that uses the outdated restriction of the configuration version that admitted the
+/// request.
 #[test]
-fn a_region_that_is_taken_away_binds_what_was_admitted_before() {
+fn a_new_restriction_applies_to_admitted_requests() {
     let before = table(1, AllowedRegions::Any, only(&["north", "south"]));
     let admitted = admitted(&before, Some("key"));
     assert_eq!(before.regions_now(&admitted), only(&["north", "south"]));
@@ -81,9 +82,9 @@
     assert_eq!(after.regions_now(&admitted), only(&["north"]));
 }
 
-/// A route or a workspace that is gone restricts what it admitted no less than before.
+/// Requests that a route or workspace admitted stay restricted after it is removed.
 #[test]
-fn a_restriction_outlasts_its_route() {
+fn a_restriction_outlives_its_route() {
     let before = table(1, only(&["north"]), AllowedRegions::Any);
     let admitted = admitted(&before, Some("key"));
     let after = RouteTable::new(Arc::new(SiteConfig {
@@ -94,7 +95,7 @@
 }
 
 quickcheck! {
-    fn both_permit_what_each_permits(one: Vec<u8>, two: Vec<u8>, any: (bool, bool)) -> TestResult {
+    fn an_intersection_permits_what_both_permit(one: Vec<u8>, two: Vec<u8>, any: (bool, bool)) -> TestResult {
         let regions = |numbers: &[u8], any| match any {
             true => AllowedRegions::Any,
             false => AllowedRegions::only(numbers.iter().map(|n| Name::new(format!("r-{}", n % 6)))),
--- a/lib/tests/round_trips.rs
+++ b/lib/tests/round_trips.rs
@@ -1,4 +1,4 @@
-//! How far other availability zones are away, and where calls go by that.
+//! Estimated round trips and service times, and how they affect the choice between regions.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_least_of_the_latest_probes_counts() {
+fn the_estimate_is_the_shortest_recent_probe() {
     let mut trips = RoundTrips::default();
     let zone = Name::new("far");
     let prior = trips.estimate(millis(0), &zone, Reach::Far);
@@ -30,7 +30,7 @@
     }
     let estimate = trips.estimate(millis(5), &zone, Reach::Far);
     assert_eq!(estimate, 221 * MS);
-    // A way that has become longer is believed once the former probes are gone.
+    // A longer round trip is adopted once the earlier probes are dropped.
     (6..20).for_each(|at| trips.answered(millis(at), &zone, 400 * MS));
     let estimate = trips.estimate(millis(20), &zone, Reach::Far);
     assert_eq!(estimate, 400 * MS);
@@ -53,7 +53,7 @@
     SocketAddr::from(([10, 0, 0, number], 8_701))
 }
 
-/// A plain server with six places here, and one in another region.
+/// A plain server with six slots in the local zone, and one in another region.
 fn fleet() -> Fleet {
     let regions = ["a", "b"].map(|zone| (Name::new(zone), Name::new(format!("region-{zone}"))));
     let mut fleet = Fleet::new(Place {
@@ -66,28 +66,28 @@
     fleet
 }
 
-/// Calls that stay here of those that come at once, before one goes to the other region.
-fn kept_here(fleet: &mut Fleet) -> usize {
+/// Number of concurrent calls that are sent to the local server before one goes to the other region.
+fn local_calls(fleet: &mut Fleet) -> usize {
     let service = Name::new("llm");
     let need = Need::new(&service, 0, 0);
     let near = fleet.key_at(address(0)).expect("listed");
-    let mut kept = 0;
-    while kept < 100 && fleet.choose(millis(10), &need, &spec()) == Ok(near) {
+    let mut count = 0;
+    while count < 100 && fleet.choose(millis(10), &need, &spec()) == Ok(near) {
         fleet.started(millis(10), near, &need);
-        kept += 1;
+        count += 1;
     }
-    kept
+    count
 }
 
-/// Guards against calls that leave for a region whose way alone takes longer than the queue here.
+/// Guards against calls sent to another region although the round trip there takes longer than the local queue.
 #[test]
-fn a_longer_way_keeps_more_calls_here() {
+fn a_longer_round_trip_keeps_more_calls_local() {
     let probed = |trip: Option<u32>| {
         let mut fleet = fleet();
         if let Some(trip) = trip {
             fleet.probed(millis(1), &Name::new("b"), trip * MS);
         }
-        kept_here(&mut fleet)
+        local_calls(&mut fleet)
     };
     let (unknown, short, long) = (probed(None), probed(Some(10)), probed(Some(220)));
     assert!(
@@ -96,30 +96,30 @@
     );
 }
 
-/// Guards against a queue that is priced by another deployment's work: calls that take long leave a full server
-/// sooner, short ones wait for a place.
+/// Guards against a queue cost that assumes another deployment's service time: long calls overflow from a full server
+/// sooner, short ones wait for a slot.
 #[test]
-fn longer_work_makes_a_queue_dearer() {
-    let worked = |ms: u32| {
+fn a_longer_service_time_raises_the_queue_cost() {
+    let calls_at = |ms: u32| {
         let mut fleet = fleet();
         let near = fleet.key_at(address(0)).expect("listed");
         (0..200).for_each(|_| fleet.worked(millis(1), near, ms * MS));
-        kept_here(&mut fleet)
+        local_calls(&mut fleet)
     };
-    let (short, long) = (worked(5), worked(150));
+    let (short, long) = (calls_at(5), calls_at(150));
     assert!(short > long, "{short} {long}");
 }
 
-/// Guards against one answer that hangs, after which a sound server would get nothing for long.
+/// Guards against a single slow answer after which a healthy server gets no calls for a long time.
 #[test]
-fn one_late_answer_does_not_empty_a_server() {
+fn one_slow_answer_does_not_divert_all_calls() {
     let mut fleet = fleet();
     let near = fleet.key_at(address(0)).expect("listed");
     (0..200).for_each(|_| fleet.worked(millis(1), near, 30 * MS));
-    let before = kept_here(&mut fleet);
+    let before = local_calls(&mut fleet);
     let mut fleet = self::fleet();
     let near = fleet.key_at(address(0)).expect("listed");
     (0..200).for_each(|_| fleet.worked(millis(1), near, 30 * MS));
     fleet.worked(millis(2), near, 6_000 * MS);
-    assert!(kept_here(&mut fleet) + 1 >= before, "{before}");
+    assert!(local_calls(&mut fleet) + 1 >= before, "{before}");
 }
--- a/lib/tests/zone_evacuation.rs
+++ b/lib/tests/zone_evacuation.rs
@@ -1,4 +1,4 @@
-//! Which availability zones are evacuated, by words that come in any order.
+//! Sets of evacuated availability zones that arrive in any order.
 
 use cicada_lib::ids::Name;
 use cicada_lib::revision::Revision;
@@ -26,9 +26,9 @@
     assert!(known.contains(&Name::new("b")) && !known.contains(&Name::new("a")));
 }
 
-/// Guards against a zone that takes work again by the word of an entry that has not heard of its evacuation.
+/// Guards against a zone that gets work again because an entry that missed the evacuation sends an outdated set.
 #[test]
-fn a_former_word_changes_nothing() {
+fn an_outdated_set_changes_nothing() {
     let mut known = zones(7, &["a"]);
     for old in [zones(6, &[]), zones(7, &[]), EvacuatedZones::default()] {
         assert_eq!(known.update(&old), EvacuationChange::default());
@@ -37,8 +37,8 @@
 }
 
 quickcheck! {
-    /// In whatever order the words come, and however often, the latest one holds at the end.
-    fn the_latest_word_holds(order: Vec<u8>) -> bool {
+    /// The set with the latest revision wins, in whatever order and however often the sets arrive.
+    fn the_latest_set_wins(order: Vec<u8>) -> bool {
         let mut known = EvacuatedZones::default();
         for number in &order {
             let names: Vec<String> = (0..3).filter(|bit| number >> bit & 1 == 1).map(|n| format!("z-{n}")).collect();
