--- a/lib/src/rumours.rs
+++ b/lib/src/broadcast_queue.rs
@@ -51,7 +51,7 @@
 }
 
 /// Membership updates that are being disseminated.
-pub(crate) struct Rumours {
+pub(crate) struct BroadcastQueue {
     // An ordered map, so that the choice of updates is deterministic.
     updates: BTreeMap<MemberId, QueuedUpdate>,
     // Rounds sent and time of the next round for a change of the process's own state or configuration, which every
@@ -62,9 +62,9 @@
     refilled_at: Time,
 }
 
-impl Rumours {
+impl BroadcastQueue {
     pub(crate) fn new() -> Self {
-        Rumours {
+        BroadcastQueue {
             updates: BTreeMap::new(),
             own: None,
             budget: BURST_BYTES,
@@ -85,7 +85,7 @@
     }
 
     /// Queues a change of the process's own state, which every datagram carries anyway.
-    pub(crate) fn own_news(&mut self, now: Time) {
+    pub(crate) fn queue_own_update(&mut self, now: Time) {
         // A first round that is still due carries this change as well.
         let next_round_at = match self.own {
             Some((0, next_round_at)) => next_round_at.min(now),
@@ -135,7 +135,7 @@
     }
 
     /// Takes `bytes` from the budget for another datagram; false if they do not fit.
-    pub(crate) fn afford(&mut self, now: Time, bytes: usize) -> bool {
+    pub(crate) fn try_spend(&mut self, now: Time, bytes: usize) -> bool {
         self.refill(now);
         let fits = self.budget >= bytes as f64;
         if fits {
--- a/lib/src/cold_start.rs
+++ b/lib/src/cold_start.rs
@@ -69,7 +69,7 @@
     }
 
     /// Records that the server may have started just now.
-    pub fn may_have_started(&mut self, now: Time) {
+    pub fn note_possible_start(&mut self, now: Time) {
         self.possible_start = Some(now);
     }
 
--- a/lib/src/engine_ledger.rs
+++ b/lib/src/engine_load_tracker.rs
@@ -26,7 +26,7 @@
 use crate::move_plan;
 use crate::peer_words::LoadAsk;
 use crate::peer_words::SentWord;
-use crate::reading_rate::ReadingRate;
+use crate::prefill_rate::PrefillRate;
 use crate::time::Time;
 
 /// Tokens by which a long run is assumed to grow if no relay announced it: half of a typical output.
@@ -99,18 +99,18 @@
 
 /// Running and waiting requests of one engine.
 #[derive(Debug, Default)]
-pub struct EngineLedger {
+pub struct EngineLoadTracker {
     requests: HashMap<Name, TrackedRequest>,
     // The engine's latest report, and when it was polled.
     report: EngineReport,
     polled_at: Time,
-    prefill_rate: ReadingRate,
+    prefill_rate: PrefillRate,
 }
 
-impl EngineLedger {
+impl EngineLoadTracker {
     /// Creates a tracker without requests.
     pub fn new() -> Self {
-        EngineLedger::default()
+        EngineLoadTracker::default()
     }
 
     /// Records a request that a relay has sent.
@@ -184,7 +184,7 @@
     }
 
     /// Estimated prefill rate of the engine, in tokens per millisecond.
-    pub fn reading_rate(&self) -> f64 {
+    pub fn prefill_rate(&self) -> f64 {
         self.prefill_rate.per_ms()
     }
 
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -23,12 +23,12 @@
 use crate::round_trips::RoundTrips;
 use crate::routing::ServerKey;
 use crate::server_lives::ServerLives;
+use crate::service_time::ServiceTime;
 use crate::site::ServerChange;
 use crate::site::ServerPhase;
 use crate::site::ServerRecord;
 use crate::site::ServiceSpec;
 use crate::time::Time;
-use crate::work_time::WorkTime;
 use crate::zone_evacuation::EvacuatedZones;
 use crate::zone_evacuation::EvacuationChange;
 
@@ -87,7 +87,7 @@
     pub(crate) entries: EntryShares,
     pub(crate) trips: RoundTrips,
     // By plain service.
-    pub(crate) work_times: HashMap<Name, WorkTime>,
+    pub(crate) service_times: HashMap<Name, ServiceTime>,
 }
 
 impl Fleet {
@@ -104,7 +104,7 @@
             evacuated: EvacuatedZones::default(),
             entries: EntryShares::default(),
             trips: RoundTrips::default(),
-            work_times: HashMap::new(),
+            service_times: HashMap::new(),
         }
     }
 
@@ -154,7 +154,7 @@
         let change = self.evacuated.update(evacuated);
         for server in self.servers.values_mut() {
             if change.ended.contains(&server.record.zone) {
-                server.cold.may_have_started(now);
+                server.cold.note_possible_start(now);
             }
         }
         change
@@ -179,7 +179,7 @@
         let trip = self.round_trip(now, &server.record.zone);
         let took = took.saturating_sub(trip);
         let service = server.record.service.clone();
-        let mean = self.work_times.entry(service).or_default();
+        let mean = self.service_times.entry(service).or_default();
         mean.answered(took);
         let mean = *mean;
         let server = &mut self.servers[key];
@@ -379,7 +379,7 @@
         server.leaving = draining.then_some(now);
         server.cold.told(now, record.cold);
         if self.listed {
-            server.cold.may_have_started(now);
+            server.cold.note_possible_start(now);
         }
         let key = self.insert(server);
         self.ids.insert(record.id.clone(), key);
--- a/lib/src/fleet_choice.rs
+++ b/lib/src/fleet_choice.rs
@@ -268,15 +268,15 @@
         let cold = server.cold.left(now, spec.cold.period).as_secs_f64() * COLD_SECOND;
         let load = match &spec.engine {
             Some(engine) => server.engine_cost(now, need, engine),
-            None => server.queue_cost(self.work_time(need.service, server)),
+            None => server.queue_cost(self.service_time(need.service, server)),
         };
         way + 10.0 * rest + cold + load
     }
 
     /// The time that a plain server works on a call: its own mean once it has one, else its service's.
-    fn work_time(&self, service: &Name, server: &Server) -> Duration {
+    fn service_time(&self, service: &Name, server: &Server) -> Duration {
         let own = server.work.as_ref();
-        let work = own.or_else(|| self.work_times.get(service));
+        let work = own.or_else(|| self.service_times.get(service));
         work.copied().unwrap_or_default().mean()
     }
 
--- a/lib/src/fleet_news.rs
+++ b/lib/src/fleet_news.rs
@@ -11,7 +11,7 @@
 use crate::ids::Name;
 use crate::peer_words::EngineHere;
 use crate::peer_words::EngineLoad;
-use crate::reading_rate;
+use crate::prefill_rate;
 use crate::routing::ServerKey;
 use crate::site::ServerPhase;
 use crate::site::ServerRecord;
@@ -103,7 +103,7 @@
             planned: load.planned.max(load.used),
             unread: load.unread,
             reads: match load.reads {
-                0 => reading_rate::PRIOR,
+                0 => prefill_rate::PRIOR,
                 reads => f64::from(reads) / 10.0,
             },
             running: load.running + load.queued,
--- a/lib/src/fleet_server.rs
+++ b/lib/src/fleet_server.rs
@@ -8,15 +8,15 @@
 
 use crate::cold_start::ColdState;
 use crate::ids::Name;
-use crate::reading_rate;
+use crate::prefill_rate;
 use crate::residency::ANY_REGION;
 use crate::residency::AllowedRegions;
 use crate::routing::ServerKey;
 use crate::server_limit::LimitState;
+use crate::service_time::ServiceTime;
 use crate::site::EngineSpec;
 use crate::site::ServerRecord;
 use crate::time::Time;
-use crate::work_time::WorkTime;
 
 /// The weight of a millisecond of reading before the first event. One that is soon over hurts nobody,
 /// and counts as much as balance asks for.
@@ -149,7 +149,7 @@
     pub(crate) cold: ColdState,
     pub(crate) limit: LimitState,
     // Of a plain server that has answered.
-    pub(crate) work: Option<WorkTime>,
+    pub(crate) work: Option<ServiceTime>,
 }
 
 /// An engine's last report.
@@ -298,7 +298,7 @@
     /// Tokens of prompts that the engine reads in a millisecond.
     fn reads(&self, now: Time) -> f64 {
         let report = self.fresh_report(now);
-        report.map_or(reading_rate::PRIOR, |report| report.reads)
+        report.map_or(prefill_rate::PRIOR, |report| report.reads)
     }
 
     /// The cost of a plain server's queue, in milliseconds, where a call takes so long.
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -4,7 +4,7 @@
 //! restart at any time, while the platform's list of hosts lags by seconds. If everyone watched
 //! everyone, a process would receive 1,369 heartbeats a second, 150 KB. Here each sends three
 //! datagrams a second whatever the number of processes, mostly within its availability zone, and
-//! news is passed on at once (see `rumours`). One of the three is a ping (see
+//! news is passed on at once (see `broadcast_queue`). One of the three is a ping (see
 //! `probes`), so that each process is pinged about once a second by someone near.
 //!
 //! A call takes O(words in the datagram); [`Membership::members`] O(processes).
@@ -12,6 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use crate::broadcast_queue::BroadcastQueue;
 use crate::config_apply::ConfigMark;
 use crate::config_seen::ConfigNews;
 use crate::gossip::Life;
@@ -31,7 +32,6 @@
 use crate::roster::MemberState;
 use crate::roster::MemberView;
 use crate::roster::Roster;
-use crate::rumours::Rumours;
 use crate::time::Time;
 
 /// How often [`Membership::tick`] is to be called: the delay that each hop adds to news.
@@ -105,7 +105,7 @@
     life: Life,
     said: Said,
     roster: Roster,
-    rumours: Rumours,
+    broadcast_queue: BroadcastQueue,
     probes: Probes,
     started: Option<Time>,
     next_beat: Time,
@@ -130,7 +130,7 @@
             },
             said: Said::Ready,
             roster: Roster::new(me),
-            rumours: Rumours::new(),
+            broadcast_queue: BroadcastQueue::new(),
             probes: Probes::default(),
             started: None,
             next_beat: Time::ZERO,
@@ -163,7 +163,7 @@
         if self.config.as_ref() != Some(&mark) {
             self.news.note(None, &mark);
             self.config = Some(mark);
-            self.rumours.own_news(now);
+            self.broadcast_queue.queue_own_update(now);
         }
     }
 
@@ -212,14 +212,14 @@
             self.started = Some(now);
             // Processes that start together do not beat together.
             self.next_beat = now + BEAT.mul_f64(rng.f64());
-            self.rumours.own_news(now);
+            self.broadcast_queue.queue_own_update(now);
         }
         let mut out = Vec::new();
         for step in self.probes.steps(now) {
             self.step(now, step, &mut out, rng);
         }
         let cost = |words| EMPTY_BYTES + words * WORD_BYTES;
-        for round in self.rumours.rounds(now, cost) {
+        for round in self.broadcast_queue.rounds(now, cost) {
             for place in 0..round.copies {
                 let distance = match place % 5 {
                     0..3 => Distance::Zone,
@@ -257,7 +257,7 @@
             said: message.said,
         };
         if self.roster.hear_directly(now, word) {
-            self.rumours.add(now, word);
+            self.broadcast_queue.add(now, word);
         }
         if let Some(mark) = &message.config {
             self.news.note(Some(message.id), mark);
@@ -274,7 +274,7 @@
         if self.said < said {
             self.said = said;
             self.life.serial += 1;
-            self.rumours.own_news(now);
+            self.broadcast_queue.queue_own_update(now);
         }
     }
 
@@ -285,7 +285,7 @@
             // Bad news that is new to a newcomer is old. When all restart at once, they would else
             // pass on the last words of each other's predecessors.
             if !self.is_fresh(now) || word.said == Said::Ready {
-                self.rumours.add(now, word);
+                self.broadcast_queue.add(now, word);
             }
             if word.said == Said::Suspect && rng.u32(..100) < CURIOUS {
                 // Where one is gone, its neighbours may be: a rack, a zone, the link to a region.
@@ -301,7 +301,7 @@
         if word.life <= self.life && !against {
             if word.life.incarnation < self.life.incarnation && word.said > self.said {
                 // Somebody has not heard that the predecessor is replaced.
-                self.rumours.own_news(now);
+                self.broadcast_queue.queue_own_update(now);
             }
             return;
         }
@@ -318,7 +318,7 @@
             }
         };
         self.counts.objections += 1;
-        self.rumours.own_news(now);
+        self.broadcast_queue.queue_own_update(now);
     }
 
     // Whoever missed a word would go by the old one until it hears the process itself, which in a
@@ -327,7 +327,7 @@
         let words = message.words.iter();
         let words: Vec<_> = words.filter_map(|w| self.roster.correction(*w)).collect();
         let bytes = EMPTY_BYTES + words.len() * WORD_BYTES;
-        if !words.is_empty() && self.rumours.afford(now, bytes) {
+        if !words.is_empty() && self.broadcast_queue.try_spend(now, bytes) {
             let message = self.message(now, Purpose::Tell, words);
             out.push(Datagram { to: from, message });
         }
@@ -414,12 +414,12 @@
         };
         if self.roster.hear(now, word) {
             self.counts.suspected += 1;
-            self.rumours.add(now, word);
+            self.broadcast_queue.add(now, word);
         }
     }
 
     fn beat(&mut self, now: Time, out: &mut Vec<Datagram>, rng: &mut fastrand::Rng) {
-        let words = self.rumours.ride(RIDERS);
+        let words = self.broadcast_queue.ride(RIDERS);
         let target = self.turns.next(now, &self.roster, rng);
         let reminders = self.roster.unready(REMINDERS, rng);
         self.ping(now, target, reminders, out, rng);
--- a/lib/src/move_plan.rs
+++ b/lib/src/move_plan.rs
@@ -40,7 +40,7 @@
     pub cold: bool,
     /// Whether it announces a request limit. A run that is moved there counts towards the limit.
     pub limited: bool,
-    /// Whether it is assigned to this engine among those that drain at the same time. See [`falls_to`].
+    /// Whether it is assigned to this engine among those that drain at the same time. See [`is_assigned_to`].
     pub own: bool,
 }
 
@@ -48,7 +48,7 @@
 /// assigned round-robin. Copies from two engines to one target would wait for each other on its link, together with
 /// the run that is paused for its last copy step. `leaving` and the targets are sorted by address at every engine, so
 /// that all engines agree.
-pub fn falls_to(engine: SocketAddr, leaving: &[SocketAddr], place: usize) -> bool {
+pub fn is_assigned_to(engine: SocketAddr, leaving: &[SocketAddr], place: usize) -> bool {
     let mut all: Vec<SocketAddr> = leaving.iter().copied().chain([engine]).collect();
     all.sort();
     all.dedup();
@@ -79,7 +79,7 @@
 ///
 /// Prefers targets that are neither cold nor limited, then those assigned to this engine, then those in the same zone,
 /// then the one with the most free memory.
-pub fn target_for<'a>(
+pub fn choose_target<'a>(
     tokens: u64,
     targets: &'a [Target],
     refused: &[SocketAddr],
--- a/lib/src/reading_rate.rs
+++ b/lib/src/prefill_rate.rs
@@ -28,14 +28,14 @@
 
 /// Prefill rate of one engine, as a decaying ratio of tokens to busy time.
 #[derive(Clone, Debug, Default)]
-pub struct ReadingRate {
+pub struct PrefillRate {
     tokens: f64,
     busy_ms: f64,
     // Time of the last sample, and whether a prompt was being prefilled then.
     last_sample: Option<(Time, bool)>,
 }
 
-impl ReadingRate {
+impl PrefillRate {
     /// Records a sample of the engine's state. `busy` is whether it has a prompt to prefill, `prefilled` the prompt tokens
     /// of the runs that have begun since the last sample.
     pub fn looked(&mut self, now: Time, busy: bool, prefilled: u64) {
--- a/lib/src/work_time.rs
+++ b/lib/src/service_time.rs
@@ -21,15 +21,15 @@
 
 /// Mean service time of calls.
 #[derive(Clone, Copy, Debug)]
-pub struct WorkTime(Duration);
+pub struct ServiceTime(Duration);
 
-impl Default for WorkTime {
+impl Default for ServiceTime {
     fn default() -> Self {
-        WorkTime(PRIOR)
+        ServiceTime(PRIOR)
     }
 }
 
-impl WorkTime {
+impl ServiceTime {
     /// Records a call that found an idle slot and was answered after `took`.
     pub fn answered(&mut self, took: Duration) {
         let took = took.min(self.0.mul_f64(MAX_OUTLIER));
--- a/lib/tests/burst/mod.rs
+++ b/lib/tests/burst/mod.rs
@@ -10,7 +10,7 @@
 
 use cicada_lib::dialect::EngineReport;
 use cicada_lib::dialect::EngineRun;
-use cicada_lib::engine_ledger::EngineLedger;
+use cicada_lib::engine_load_tracker::EngineLoadTracker;
 use cicada_lib::fleet::Fleet;
 use cicada_lib::fleet::Need;
 use cicada_lib::fleet::Place;
@@ -145,7 +145,7 @@
 #[derive(Default)]
 struct Engine {
     runs: Vec<Run>,
-    ledger: EngineLedger,
+    load_tracker: EngineLoadTracker,
     // When the present step ends, in microseconds.
     busy: u64,
 }
@@ -373,7 +373,7 @@
             return;
         };
         let engine = &mut self.engines[usize::from(address.ip().octets()[3])];
-        engine.ledger.sent(now, &word);
+        engine.load_tracker.sent(now, &word);
         engine.runs.push(Run {
             id: word.id,
             unread: caller.prompt,
@@ -435,8 +435,8 @@
             ..EngineReport::default()
         };
         let (running, reading) = (report.running, report.reading);
-        at.ledger.look(now, report);
-        let plan = at.ledger.plan(now, None);
+        at.load_tracker.look(now, report);
+        let plan = at.load_tracker.plan(now, None);
         let load = EngineLoad {
             running,
             reading,
--- a/lib/tests/engine_ledger.rs
+++ b/lib/tests/engine_load_tracker.rs
@@ -4,8 +4,8 @@
 
 use cicada_lib::dialect::EngineReport;
 use cicada_lib::dialect::EngineRun;
-use cicada_lib::engine_ledger::EngineLedger;
-use cicada_lib::engine_ledger::Plan;
+use cicada_lib::engine_load_tracker::EngineLoadTracker;
+use cicada_lib::engine_load_tracker::Plan;
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::LoadAsk;
 use cicada_lib::peer_words::SentWord;
@@ -44,19 +44,19 @@
 }
 
 /// Takes in a report and returns the forecast at the same time.
-fn forecast(ledger: &mut EngineLedger, now: Time, report: EngineReport) -> Plan {
-    ledger.look(now, report);
-    ledger.plan(now, None)
+fn forecast(load_tracker: &mut EngineLoadTracker, now: Time, report: EngineReport) -> Plan {
+    load_tracker.look(now, report);
+    load_tracker.plan(now, None)
 }
 
 /// Two entries send between two reports. Before the engine reports either request, the forecast includes the peak memory
 /// and the prefill of both.
 #[test]
 fn requests_in_transit_count_at_once() {
-    let mut ledger = EngineLedger::new();
-    ledger.sent(millis(0), &request("a", 3_000, 4_000));
-    ledger.sent(millis(1), &request("b", 2_000, 2_020));
-    let plan = forecast(&mut ledger, millis(10), report(vec![], 0));
+    let mut load_tracker = EngineLoadTracker::new();
+    load_tracker.sent(millis(0), &request("a", 3_000, 4_000));
+    load_tracker.sent(millis(1), &request("b", 2_000, 2_020));
+    let plan = forecast(&mut load_tracker, millis(10), report(vec![], 0));
     assert_eq!(plan.unread, 5_000);
     assert_eq!(plan.tokens, 5_040);
 }
@@ -65,25 +65,33 @@
 /// ends.
 #[test]
 fn a_run_counts_with_its_expected_final_size() {
-    let mut ledger = EngineLedger::new();
-    ledger.sent(millis(0), &request("a", 3_000, 4_000));
-    let plan = forecast(&mut ledger, millis(500), report(vec![run("a", 3_100)], 0));
+    let mut load_tracker = EngineLoadTracker::new();
+    load_tracker.sent(millis(0), &request("a", 3_000, 4_000));
+    let plan = forecast(
+        &mut load_tracker,
+        millis(500),
+        report(vec![run("a", 3_100)], 0),
+    );
     assert_eq!((plan.tokens, plan.unread), (4_000, 0));
-    let plan = forecast(&mut ledger, millis(9_000), report(vec![run("a", 4_500)], 0));
+    let plan = forecast(
+        &mut load_tracker,
+        millis(9_000),
+        report(vec![run("a", 4_500)], 0),
+    );
     assert!(plan.tokens > 4_500, "{plan:?}");
-    let plan = forecast(&mut ledger, millis(9_500), report(vec![], 0));
+    let plan = forecast(&mut load_tracker, millis(9_500), report(vec![], 0));
     assert_eq!(plan.tokens, 0);
-    assert!(ledger.is_empty());
+    assert!(load_tracker.is_empty());
 }
 
 /// Runs of different lengths do not peak together: the forecast is the peak of the sum, not the sum of the peaks.
 #[test]
 fn runs_that_end_at_different_times_share_memory() {
-    let mut ledger = EngineLedger::new();
-    ledger.sent(millis(0), &request("a", 1_000, 3_000));
-    ledger.sent(millis(0), &request("b", 3_000, 3_400));
+    let mut load_tracker = EngineLoadTracker::new();
+    load_tracker.sent(millis(0), &request("a", 1_000, 3_000));
+    load_tracker.sent(millis(0), &request("b", 3_000, 3_400));
     let runs = vec![run("a", 1_000), run("b", 3_000)];
-    let plan = forecast(&mut ledger, millis(500), report(runs, 0));
+    let plan = forecast(&mut load_tracker, millis(500), report(runs, 0));
     assert_eq!(plan.tokens, 4_800);
 }
 
@@ -91,33 +99,33 @@
 /// that never reached it are dropped.
 #[test]
 fn the_engine_s_own_count_takes_precedence() {
-    let mut ledger = EngineLedger::new();
-    let plan = forecast(&mut ledger, millis(0), report(vec![], 2));
+    let mut load_tracker = EngineLoadTracker::new();
+    let plan = forecast(&mut load_tracker, millis(0), report(vec![], 2));
     assert!(
         plan.unread >= 4_000 && plan.tokens > plan.unread,
         "{plan:?}"
     );
-    ledger.sent(millis(0), &request("refused", 3_000, 4_000));
-    assert!(forecast(&mut ledger, millis(100), report(vec![], 0)).tokens > 0);
-    let plan = forecast(&mut ledger, millis(1_000), report(vec![], 0));
+    load_tracker.sent(millis(0), &request("refused", 3_000, 4_000));
+    assert!(forecast(&mut load_tracker, millis(100), report(vec![], 0)).tokens > 0);
+    let plan = forecast(&mut load_tracker, millis(1_000), report(vec![], 0));
     assert_eq!((plan.tokens, plan.unread), (0, 0));
-    assert!(ledger.is_empty());
+    assert!(load_tracker.is_empty());
 }
 
 /// Announcements of requests that never reach the engine do not accumulate.
 #[test]
 fn tracked_requests_stay_bounded() {
-    let mut ledger = EngineLedger::new();
+    let mut load_tracker = EngineLoadTracker::new();
     for number in 0..10_000u64 {
         let now = millis(number * 20);
-        ledger.sent(now, &request(&format!("r-{number}"), 100, 200));
+        load_tracker.sent(now, &request(&format!("r-{number}"), 100, 200));
         forecast(
-            &mut ledger,
+            &mut load_tracker,
             now + Duration::from_millis(5),
             report(vec![], 1),
         );
     }
-    assert!(ledger.len() < 2_500, "{}", ledger.len());
+    assert!(load_tracker.len() < 2_500, "{}", load_tracker.len());
 }
 
 fn ask(id: &str, prompt: u64, asked: u32) -> LoadAsk {
@@ -134,35 +142,35 @@
 /// its own. Once sent, the first request counts in full, and the unused reservation expires.
 #[test]
 fn a_reservation_counts_in_part() {
-    let mut ledger = EngineLedger::new();
-    ledger.look(millis(0), report(vec![], 0));
-    ledger.claimed(millis(10), &ask("a", 3_000, 5));
-    ledger.claimed(millis(10), &ask("b", 2_000, 5));
-    let for_b = ledger.plan(millis(11), Some(&Name::new("b")));
+    let mut load_tracker = EngineLoadTracker::new();
+    load_tracker.look(millis(0), report(vec![], 0));
+    load_tracker.claimed(millis(10), &ask("a", 3_000, 5));
+    load_tracker.claimed(millis(10), &ask("b", 2_000, 5));
+    let for_b = load_tracker.plan(millis(11), Some(&Name::new("b")));
     assert_eq!(for_b.unread, 600);
-    ledger.sent(millis(12), &request("a", 3_000, 3_500));
-    assert_eq!(ledger.plan(millis(13), None).unread, 3_400);
-    assert_eq!(ledger.plan(millis(100), None).unread, 3_000);
+    load_tracker.sent(millis(12), &request("a", 3_000, 3_500));
+    assert_eq!(load_tracker.plan(millis(13), None).unread, 3_400);
+    assert_eq!(load_tracker.plan(millis(100), None).unread, 3_000);
 }
 
 /// Ten relays probe an idle engine at almost the same time, as one of five engines each: it still looks able to prefill
 /// a prompt in time.
 #[test]
 fn many_reservations_do_not_make_an_engine_look_overloaded() {
-    let mut ledger = EngineLedger::new();
-    ledger.look(millis(0), report(vec![], 0));
+    let mut load_tracker = EngineLoadTracker::new();
+    load_tracker.look(millis(0), report(vec![], 0));
     for number in 0..10 {
-        ledger.claimed(millis(number), &ask(&format!("r-{number}"), 2_500, 5));
+        load_tracker.claimed(millis(number), &ask(&format!("r-{number}"), 2_500, 5));
     }
-    assert!(ledger.plan(millis(10), None).unread <= 5_000);
+    assert!(load_tracker.plan(millis(10), None).unread <= 5_000);
 }
 
 /// The engine reports one prompt in prefill, and another request was sent after the report. Both count.
 #[test]
 fn a_request_sent_after_the_report_counts_in_addition() {
-    let mut ledger = EngineLedger::new();
-    ledger.sent(millis(0), &request("a", 3_000, 3_500));
-    ledger.look(millis(400), report(vec![], 1));
-    ledger.sent(millis(410), &request("b", 2_000, 2_500));
-    assert_eq!(ledger.plan(millis(411), None).unread, 5_000);
+    let mut load_tracker = EngineLoadTracker::new();
+    load_tracker.sent(millis(0), &request("a", 3_000, 3_500));
+    load_tracker.look(millis(400), report(vec![], 1));
+    load_tracker.sent(millis(410), &request("b", 2_000, 2_500));
+    assert_eq!(load_tracker.plan(millis(411), None).unread, 5_000);
 }
--- a/lib/tests/move_plan.rs
+++ b/lib/tests/move_plan.rs
@@ -7,11 +7,11 @@
 use cicada_lib::dialect::EngineRun;
 use cicada_lib::ids::Name;
 use cicada_lib::move_plan::Target;
-use cicada_lib::move_plan::falls_to;
+use cicada_lib::move_plan::choose_target;
+use cicada_lib::move_plan::is_assigned_to;
 use cicada_lib::move_plan::is_short;
 use cicada_lib::move_plan::next_run;
 use cicada_lib::move_plan::rank;
-use cicada_lib::move_plan::target_for;
 use quickcheck::QuickCheck;
 
 /// Copy time per token: 18,432 bytes at 2,700 Mbit/s.
@@ -91,10 +91,13 @@
 #[test]
 fn a_run_moves_to_the_target_with_the_most_free_memory() {
     let targets = [target(1, 30_000), target(2, 12_000), target(3, 20_000)];
-    assert_eq!(target_for(4_000, &targets, &[]).unwrap().address.port(), 2);
+    assert_eq!(
+        choose_target(4_000, &targets, &[]).unwrap().address.port(),
+        2
+    );
     let refused = [targets[1].address];
     assert_eq!(
-        target_for(4_000, &targets, &refused)
+        choose_target(4_000, &targets, &refused)
             .unwrap()
             .address
             .port(),
@@ -104,8 +107,8 @@
 
 #[test]
 fn a_full_target_gets_no_run() {
-    assert!(target_for(4_000, &[target(1, 30_000)], &[]).is_none());
-    assert!(target_for(2_000, &[target(1, 30_000)], &[]).is_some());
+    assert!(choose_target(4_000, &[target(1, 30_000)], &[]).is_none());
+    assert!(choose_target(2_000, &[target(1, 30_000)], &[]).is_some());
 }
 
 #[test]
@@ -126,28 +129,43 @@
     let address = |last: u8| SocketAddr::from(([10, 0, 0, last], 8_701));
     let (one, other) = (address(1), address(2));
     for place in 0..6 {
-        let first = falls_to(one, &[other], place);
-        let second = falls_to(other, &[one], place);
+        let first = is_assigned_to(one, &[other], place);
+        let second = is_assigned_to(other, &[one], place);
         assert!(
             first != second,
             "target {place} is assigned to exactly one engine"
         );
-        assert!(falls_to(one, &[], place), "a single engine has all targets");
+        assert!(
+            is_assigned_to(one, &[], place),
+            "a single engine has all targets"
+        );
     }
     let mut targets = [target(1, 2_000), target(2, 20_000)];
     targets[0].own = false;
-    assert_eq!(target_for(4_000, &targets, &[]).unwrap().address.port(), 2);
+    assert_eq!(
+        choose_target(4_000, &targets, &[]).unwrap().address.port(),
+        2
+    );
     targets[1].used = 32_000;
-    assert_eq!(target_for(4_000, &targets, &[]).unwrap().address.port(), 1);
+    assert_eq!(
+        choose_target(4_000, &targets, &[]).unwrap().address.port(),
+        1
+    );
 }
 
 #[test]
 fn targets_in_the_same_zone_are_preferred_but_not_required() {
     let mut targets = [target(1, 2_000), target(2, 20_000)];
     targets[0].near = false;
-    assert_eq!(target_for(4_000, &targets, &[]).unwrap().address.port(), 2);
+    assert_eq!(
+        choose_target(4_000, &targets, &[]).unwrap().address.port(),
+        2
+    );
     targets[1].used = 32_000;
-    assert_eq!(target_for(4_000, &targets, &[]).unwrap().address.port(), 1);
+    assert_eq!(
+        choose_target(4_000, &targets, &[]).unwrap().address.port(),
+        1
+    );
 }
 
 /// Guards against runs that are moved to a cold or limited engine although another one has enough memory.
@@ -163,8 +181,8 @@
     };
     let unrestricted = target(3, 20_000);
     let all = [limited.clone(), cold, unrestricted];
-    let chosen = target_for(3_000, &all, &[]).map(|target| target.address.port());
+    let chosen = choose_target(3_000, &all, &[]).map(|target| target.address.port());
     assert_eq!(chosen, Some(3));
-    let alone = target_for(3_000, std::slice::from_ref(&limited), &[]);
+    let alone = choose_target(3_000, std::slice::from_ref(&limited), &[]);
     assert_eq!(alone.map(|target| target.address.port()), Some(1));
 }
--- a/lib/tests/reading_rate.rs
+++ b/lib/tests/prefill_rate.rs
@@ -1,12 +1,12 @@
 //! Estimation of an engine's prefill rate from samples.
 
-use cicada_lib::reading_rate::PRIOR;
-use cicada_lib::reading_rate::ReadingRate;
+use cicada_lib::prefill_rate::PRIOR;
+use cicada_lib::prefill_rate::PrefillRate;
 use cicada_lib::time::Time;
 
 /// Samples an engine every 30 ms, for `ms` milliseconds, while it prefills prompts of 2,400 tokens at `rate`.
-fn sampled(rate: f64, ms: u64) -> ReadingRate {
-    let mut estimate = ReadingRate::default();
+fn sampled(rate: f64, ms: u64) -> PrefillRate {
+    let mut estimate = PrefillRate::default();
     let mut prefilled = 0.0;
     for at in (0..ms).step_by(30) {
         prefilled += rate * 30.0;
@@ -20,7 +20,7 @@
 /// Guards against a rate that stays at the prior instead of converging to that of the engine.
 #[test]
 fn the_estimate_converges_to_the_rate_of_the_engine() {
-    let prior = ReadingRate::default().per_ms();
+    let prior = PrefillRate::default().per_ms();
     assert!((prior - PRIOR).abs() < 1e-6, "{prior}");
     for rate in [1.5, 4.0, 7.0, 14.0] {
         let found = sampled(rate, 30_000).per_ms();
@@ -47,10 +47,10 @@
 /// Guards against nonsensical reports that would give an engine all requests or none.
 #[test]
 fn the_estimate_is_bounded() {
-    let mut estimate = ReadingRate::default();
+    let mut estimate = PrefillRate::default();
     (0..1_000).for_each(|n| estimate.looked(Time::from_millis(n * 10), true, 1_000_000));
     assert!(estimate.per_ms() <= 10.0 * PRIOR);
-    let mut estimate = ReadingRate::default();
+    let mut estimate = PrefillRate::default();
     (0..100_000).for_each(|n| estimate.looked(Time::from_millis(n * 30), true, 0));
     assert!(estimate.per_ms() >= 0.1 * PRIOR);
 }
--- a/lib/tests/relays/mod.rs
+++ b/lib/tests/relays/mod.rs
@@ -11,7 +11,7 @@
 
 use cicada_lib::dialect::EngineReport;
 use cicada_lib::dialect::EngineRun;
-use cicada_lib::engine_ledger::EngineLedger;
+use cicada_lib::engine_load_tracker::EngineLoadTracker;
 use cicada_lib::fleet::Fleet;
 use cicada_lib::fleet::Need;
 use cicada_lib::fleet::Place;
@@ -102,7 +102,7 @@
 
 #[derive(Default)]
 struct Engine {
-    ledger: EngineLedger,
+    load_tracker: EngineLoadTracker,
     // Prompts that wait, the first one being read until `free`.
     prompts: VecDeque<Prompt>,
     free: u64,
@@ -264,12 +264,12 @@
             runs: runs.collect(),
             ..EngineReport::default()
         };
-        at.ledger.look(now, report);
+        at.load_tracker.look(now, report);
     }
 
     fn load(&self, engine: usize, without: Option<&Name>) -> EngineLoad {
         let at = &self.engines[engine];
-        let plan = at.ledger.plan(self.time(), without);
+        let plan = at.load_tracker.plan(self.time(), without);
         EngineLoad {
             running: (at.runs.len() + at.prompts.len()) as u32,
             planned: plan.tokens,
@@ -324,7 +324,7 @@
             tokens: need.tokens,
         };
         let at = &mut self.engines[number];
-        at.ledger.sent(now, &word);
+        at.load_tracker.sent(now, &word);
         if at.prompts.is_empty() {
             at.free = self.now + (prompt as f64 / READ) as u64;
         }
@@ -359,7 +359,7 @@
                 tokens: need.tokens,
                 asked: asked.len() as u32,
             };
-            self.engines[number(engine)].ledger.claimed(now, &ask);
+            self.engines[number(engine)].load_tracker.claimed(now, &ask);
             self.relays[relay].answered(now, &here(number(engine)), &load);
         }
         Some(asked)
--- a/relay/src/run_mover.rs
+++ b/relay/src/run_mover.rs
@@ -102,7 +102,7 @@
             limited: limited
                 .get(&n.report.here.address)
                 .is_some_and(|told| told.elapsed() < LIMITED_AGE),
-            own: move_plan::falls_to(engine, &leaving, place),
+            own: move_plan::is_assigned_to(engine, &leaving, place),
         });
         targets.collect()
     }
@@ -202,7 +202,7 @@
     /// Moves one run; `None` where it stays for now.
     async fn move_run(&mut self, run: &EngineRun) -> Option<MovedRun> {
         let targets = self.neighbours.targets(self.engine, &self.zone);
-        let Some(target) = move_plan::target_for(run.tokens, &targets, &self.refused) else {
+        let Some(target) = move_plan::choose_target(run.tokens, &targets, &self.refused) else {
             // Said once for each run, since it is tried again until the engine has gone.
             if !self.told.contains(&run.id) {
                 self.told.push(run.id.clone());
--- a/relay/src/scout.rs
+++ b/relay/src/scout.rs
@@ -12,7 +12,7 @@
 use cicada_lib::cold_start::ColdState;
 use cicada_lib::dialect::EngineCalls;
 use cicada_lib::dialect::EngineReport;
-use cicada_lib::engine_ledger::EngineLedger;
+use cicada_lib::engine_load_tracker::EngineLoadTracker;
 use cicada_lib::failure_rate::FailureRate;
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words;
@@ -91,7 +91,7 @@
     // The latest runs of an engine that leaves, for the task that moves them.
     pub(crate) evacuating: Option<watch::Sender<EngineReport>>,
     pub(crate) identity: Identity,
-    pub(crate) ledger: EngineLedger,
+    pub(crate) load_tracker: EngineLoadTracker,
     pub(crate) outcomes: FailureRate,
     pub(crate) cold: ColdState,
     // How long the engine is cold after a start, as relays tell.
@@ -130,7 +130,7 @@
             leaving: false,
             evacuating: None,
             identity: Identity::new(),
-            ledger: EngineLedger::new(),
+            load_tracker: EngineLoadTracker::new(),
             outcomes: FailureRate::new(),
             cold: ColdState::default(),
             cold_period: Duration::ZERO,
@@ -177,7 +177,7 @@
                 self.neighbours.report(&report);
             }
             Ok(Datagram::Sent(word)) if word.engine == self.here.address => {
-                self.ledger.sent(self.clock.now(), &word);
+                self.load_tracker.sent(self.clock.now(), &word);
                 self.heard = Instant::now();
             }
             Ok(Datagram::Ended(word)) if word.engine == self.here.address => {
@@ -209,7 +209,7 @@
             return;
         };
         let report = self.word(&report, Some(&ask.id));
-        self.ledger.claimed(now, &ask);
+        self.load_tracker.claimed(now, &ask);
         let word = Datagram::Answer(LoadAnswer { id: ask.id, report });
         self.socket.send(&word, &[from]).await;
     }
@@ -265,9 +265,9 @@
         let now = self.clock.now();
         let watched = self.seen.as_ref();
         if watched.is_none_or(|(at, _)| now.since(*at) >= UNWATCHED) {
-            self.cold.may_have_started(now);
+            self.cold.note_possible_start(now);
         }
-        self.ledger.look(now, report.clone());
+        self.load_tracker.look(now, report.clone());
         if !report.leaving {
             self.identity.ask(&self.engines, self.here.address);
         }
--- a/relay/src/scout_reports.rs
+++ b/relay/src/scout_reports.rs
@@ -73,7 +73,7 @@
     /// What is told of the engine, but for the request `without`.
     pub(crate) fn word(&mut self, report: &EngineReport, without: Option<&Name>) -> ScoutReport {
         let now = self.clock.now();
-        let plan = self.ledger.plan(now, without);
+        let plan = self.load_tracker.plan(now, without);
         ScoutReport {
             here: self.here.clone(),
             load: EngineLoad {
@@ -84,7 +84,7 @@
                 used: report.used,
                 planned: plan.tokens,
                 unread: plan.unread,
-                reads: (self.ledger.reading_rate() * 10.0) as u32,
+                reads: (self.load_tracker.prefill_rate() * 10.0) as u32,
                 capacity: report.capacity,
                 failing: (self.outcomes.rate(now) * 100.0) as u8,
                 leaving: report.leaving,
