--- a/lib/src/broadcast_queue.rs
+++ b/lib/src/broadcast_queue.rs
@@ -45,7 +45,7 @@
 }
 
 /// One datagram of a broadcast round, to be sent to each of `copies` peers.
-pub(crate) struct Round {
+pub(crate) struct BroadcastRound {
     pub(crate) copies: usize,
     pub(crate) words: Vec<Word>,
 }
@@ -73,7 +73,7 @@
     }
 
     /// Queues an update, replacing an older one on the same process.
-    pub(crate) fn add(&mut self, now: Time, word: Word) {
+    pub(crate) fn push(&mut self, now: Time, word: Word) {
         let update = QueuedUpdate {
             word,
             queued_at: now,
@@ -96,7 +96,11 @@
 
     /// Returns the datagrams that are due now and fit the budget. `cost` is the size in bytes of a datagram with the given
     /// number of updates.
-    pub(crate) fn rounds(&mut self, now: Time, cost: impl Fn(usize) -> usize) -> Vec<Round> {
+    pub(crate) fn due_rounds(
+        &mut self,
+        now: Time,
+        cost: impl Fn(usize) -> usize,
+    ) -> Vec<BroadcastRound> {
         self.refill(now);
         // Expired updates that the budget has held back so far are still sent.
         self.updates.retain(|_, update| {
@@ -126,7 +130,7 @@
                 let rest = due.split_off(fits);
                 self.budget -= bytes(fits);
                 self.advance(now, &due, carries_own);
-                rounds.push(Round { copies, words: due });
+                rounds.push(BroadcastRound { copies, words: due });
                 carries_own = false;
                 due = rest;
             }
@@ -145,7 +149,7 @@
     }
 
     /// Picks up to `most` updates to piggyback on a periodic datagram: those piggybacked least often so far.
-    pub(crate) fn ride(&mut self, most: usize) -> Vec<Word> {
+    pub(crate) fn piggyback(&mut self, most: usize) -> Vec<Word> {
         let mut order: Vec<_> = self
             .updates
             .values()
--- a/lib/src/cold_start.rs
+++ b/lib/src/cold_start.rs
@@ -64,8 +64,8 @@
 impl ColdState {
     /// Records that the server, or its scout, announced the remaining cold time. The latest end wins, because another
     /// announcement may predate the server's start.
-    pub fn told(&mut self, now: Time, left: Duration) {
-        self.cold_until = self.cold_until.max(now + left);
+    pub fn set_remaining(&mut self, now: Time, remaining: Duration) {
+        self.cold_until = self.cold_until.max(now + remaining);
     }
 
     /// Records that the server may have started just now.
@@ -74,19 +74,19 @@
     }
 
     /// Remaining cold time of a server that is cold for `period` after a start.
-    pub fn left(&self, now: Time, period: Duration) -> Duration {
+    pub fn remaining(&self, now: Time, period: Duration) -> Duration {
         let inferred = self.possible_start.map(|at| (at + period).since(now));
         self.cold_until.since(now).max(inferred.unwrap_or_default())
     }
 
     /// Records a request sent to the server.
-    pub(crate) fn sent(&mut self, now: Time) {
+    pub(crate) fn record_send(&mut self, now: Time) {
         self.sends.retain(|at| now.since(*at) < WINDOW);
         self.sends.push_back(now);
     }
 
     /// Number of requests sent within the window.
-    pub(crate) fn sends(&self, now: Time) -> usize {
+    pub(crate) fn recent_sends(&self, now: Time) -> usize {
         let recent = self.sends.iter().filter(|at| now.since(**at) < WINDOW);
         recent.count()
     }
--- a/lib/src/engine_load_tracker.rs
+++ b/lib/src/engine_load_tracker.rs
@@ -52,11 +52,11 @@
 
 /// Expected load of an engine.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Plan {
+pub struct LoadForecast {
     /// Expected peak memory, in tokens, of all running and waiting requests.
-    pub tokens: u64,
+    pub peak_tokens: u64,
     /// Prompt tokens that are still to be prefilled.
-    pub unread: u64,
+    pub prefill_tokens: u64,
 }
 
 /// A request that a relay has announced.
@@ -114,14 +114,14 @@
     }
 
     /// Records a request that a relay has sent.
-    pub fn sent(&mut self, now: Time, word: &SentWord) {
+    pub fn record_sent(&mut self, now: Time, word: &SentWord) {
         let request = TrackedRequest::new(now, word.prompt, word.tokens, Stage::Sent);
         self.requests.insert(word.id.clone(), request);
     }
 
     /// Reserves capacity for a request that a relay probes for and may send. Each of the probed engines reserves an equal
     /// part of it.
-    pub fn claimed(&mut self, now: Time, ask: &LoadAsk) {
+    pub fn reserve(&mut self, now: Time, ask: &LoadAsk) {
         let engines = u64::from(ask.asked.max(1));
         let (prompt, tokens) = (ask.prompt / engines, ask.tokens / engines);
         let reservation = TrackedRequest::new(now, prompt, tokens, Stage::Reserved);
@@ -129,16 +129,17 @@
     }
 
     /// Updates the tracked requests and the prefill rate from a report that the engine returned at `now`.
-    pub fn look(&mut self, now: Time, report: EngineReport) {
+    pub fn update(&mut self, now: Time, report: EngineReport) {
         let prefilled = self.reconcile(now, &report);
-        self.prefill_rate.looked(now, report.reading > 0, prefilled);
+        self.prefill_rate
+            .record_sample(now, report.reading > 0, prefilled);
         self.report = report;
         self.polled_at = now;
     }
 
     /// Forecasts the engine's peak memory and prefill backlog, leaving out the request `without`. Takes O(n log n)
     /// in the number of its requests.
-    pub fn plan(&self, now: Time, without: Option<&Name>) -> Plan {
+    pub fn forecast(&self, now: Time, without: Option<&Name>) -> LoadForecast {
         let report = &self.report;
         let mut all: Vec<Footprint> = report.runs.iter().map(|run| self.footprint(run)).collect();
         let (unreported, mut waiting) = self.waiting(now, without);
@@ -151,20 +152,20 @@
         let counted = reported.max(in_transit.count());
         waiting.truncate(counted);
         let unannounced = reported.saturating_sub(waiting.len()) as u64;
-        let mut unread: u64 = waiting
+        let mut prefill_tokens: u64 = waiting
             .iter()
             .chain(&unreported)
             .map(|request| request.prompt)
             .sum();
-        unread += unannounced * DEFAULT_PROMPT;
+        prefill_tokens += unannounced * DEFAULT_PROMPT;
         all.extend(waiting.iter().chain(&unreported).map(|request| {
             let growth = request.final_tokens.saturating_sub(request.prompt);
             footprint(request.prompt, growth)
         }));
         all.extend((0..unannounced).map(|_| footprint(DEFAULT_PROMPT, DEFAULT_GROWTH)));
-        Plan {
-            tokens: MemoryPlan::peak(&mut all) as u64,
-            unread,
+        LoadForecast {
+            peak_tokens: MemoryPlan::peak(&mut all) as u64,
+            prefill_tokens,
         }
     }
 
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -167,7 +167,7 @@
 
     /// A probe of an availability zone was answered after so long.
     pub fn probed(&mut self, now: Time, zone: &Name, took: Duration) {
-        self.trips.answered(now, zone, took);
+        self.trips.record(now, zone, took);
     }
 
     /// A plain server has answered a call so long after it was sent there. With a queue before it that says nothing of
@@ -180,10 +180,10 @@
         let took = took.saturating_sub(trip);
         let service = server.record.service.clone();
         let mean = self.service_times.entry(service).or_default();
-        mean.answered(took);
+        mean.record(took);
         let mean = *mean;
         let server = &mut self.servers[key];
-        server.work.get_or_insert(mean).answered(took);
+        server.work.get_or_insert(mean).record(took);
     }
 
     /// Servers that are cold, of services whose cold servers take a bounded number of requests.
@@ -192,7 +192,7 @@
         let cold = listed.filter(|server| {
             let start = services.get(&server.record.service).map(|spec| &spec.cold);
             start.is_some_and(|start| {
-                start.is_limited() && !server.cold.left(now, start.period).is_zero()
+                start.is_limited() && !server.cold.remaining(now, start.period).is_zero()
             })
         });
         cold.count()
@@ -286,7 +286,7 @@
             server.tokens += need.tokens;
             server.unread += need.prompt;
             server.sent(now, need.prompt, need.tokens);
-            server.cold.sent(now);
+            server.cold.record_send(now);
             let address = server.record.address;
             server.limit.sent(now, address, &self.entries);
         }
@@ -357,7 +357,7 @@
                 if record.phase == ServerPhase::Draining {
                     server.leaving.get_or_insert(now);
                 }
-                server.cold.told(now, record.cold);
+                server.cold.set_remaining(now, record.cold);
                 let draining = server.record.phase == ServerPhase::Draining;
                 server.record = record.clone();
                 if draining {
@@ -377,7 +377,7 @@
         server.listed = true;
         let draining = record.phase == ServerPhase::Draining;
         server.leaving = draining.then_some(now);
-        server.cold.told(now, record.cold);
+        server.cold.set_remaining(now, record.cold);
         if self.listed {
             server.cold.note_possible_start(now);
         }
@@ -394,7 +394,7 @@
             return false;
         };
         let server = &mut self.servers[key];
-        server.cold.told(now, record.cold);
+        server.cold.set_remaining(now, record.cold);
         server.record = record.clone();
         if record.phase == ServerPhase::Draining {
             server.leaving.get_or_insert(Time::ZERO);
--- a/lib/src/fleet_choice.rs
+++ b/lib/src/fleet_choice.rs
@@ -18,7 +18,7 @@
 use crate::ids::Name;
 use crate::placement;
 use crate::placement::Candidate;
-use crate::placement::Reach;
+use crate::placement::Locality;
 use crate::residency::AllowedRegions;
 use crate::routing::ServerKey;
 use crate::site::EngineSpec;
@@ -173,7 +173,7 @@
     /// Whether the server stands in this entry's region.
     pub fn is_near(&self, key: ServerKey) -> bool {
         let server = self.servers.get(key);
-        server.is_some_and(|server| self.reach(&server.record.zone) != Reach::Far)
+        server.is_some_and(|server| self.locality(&server.record.zone) != Locality::OtherRegion)
     }
 
     /// Whether the server may get the request, were it the best one: a run that goes on there is not chosen for.
@@ -189,7 +189,7 @@
     pub fn left_out_near(&self, now: Time, need: &Need<'_>, spec: &ServiceSpec) -> LeftOut {
         let mut left_out = LeftOut::default();
         for (key, server) in &self.servers {
-            let near = self.reach(&server.record.zone) != Reach::Far;
+            let near = self.locality(&server.record.zone) != Locality::OtherRegion;
             if !near || !need.asks_for(key, server) {
                 continue;
             }
@@ -222,11 +222,11 @@
 
     /// Whether a cold server has got all that this entry may send there.
     fn is_beyond_share(&self, now: Time, server: &Server, start: &ColdStart) -> bool {
-        if !start.is_limited() || server.cold.left(now, start.period).is_zero() {
+        if !start.is_limited() || server.cold.remaining(now, start.period).is_zero() {
             return false;
         }
         let share = start.share(&self.entries, server.record.address);
-        server.cold.sends(now) >= share
+        server.cold.recent_sends(now) >= share
     }
 
     /// Whether the reports of the near engines that a request may go to, or of all where none is near, come too
@@ -239,7 +239,7 @@
             open && s.record.service == *service && regions.permits(self.place.region_of(zone))
         });
         let (near, far): (Vec<&Server>, Vec<&Server>) =
-            able.partition(|s| self.reach(&s.record.zone) != Reach::Far);
+            able.partition(|s| self.locality(&s.record.zone) != Locality::OtherRegion);
         let chosen = if near.is_empty() { far } else { near };
         let mut reports = chosen.iter().filter_map(|s| s.fresh_report(now)).peekable();
         let unknown = reports.peek().is_none();
@@ -254,18 +254,19 @@
         });
         let options = able.map(|(key, server)| Candidate {
             key,
-            reach: self.reach(&server.record.zone),
+            locality: self.locality(&server.record.zone),
         });
         options.collect()
     }
 
     fn score(&self, now: Time, server: &Server, need: &Need<'_>, spec: &ServiceSpec) -> f64 {
-        let crosses = spec.engine.is_some() && self.reach(&server.record.zone) == Reach::Region;
+        let crosses =
+            spec.engine.is_some() && self.locality(&server.record.zone) == Locality::SameRegion;
         let crossing = if crosses { ZONE_CROSSING } else { 0.0 };
         let trip = self.round_trip(now, &server.record.zone);
         let way = trip.as_secs_f64() * 1_000.0 + crossing;
         let rest = server.rest.since(now).as_secs_f64() * 1_000.0;
-        let cold = server.cold.left(now, spec.cold.period).as_secs_f64() * COLD_SECOND;
+        let cold = server.cold.remaining(now, spec.cold.period).as_secs_f64() * COLD_SECOND;
         let load = match &spec.engine {
             Some(engine) => server.engine_cost(now, need, engine),
             None => server.queue_cost(self.service_time(need.service, server)),
@@ -310,15 +311,15 @@
 
     /// The round trip to an availability zone.
     pub fn round_trip(&self, now: Time, zone: &Name) -> Duration {
-        self.trips.estimate(now, zone, self.reach(zone))
+        self.trips.estimate(now, zone, self.locality(zone))
     }
 
-    pub(crate) fn reach(&self, zone: &Name) -> Reach {
+    pub(crate) fn locality(&self, zone: &Name) -> Locality {
         let place = &self.place;
         match place.region_of(zone) == place.region_of(&place.zone) {
-            true if *zone == place.zone => Reach::Zone,
-            true => Reach::Region,
-            false => Reach::Far,
+            true if *zone == place.zone => Locality::SameZone,
+            true => Locality::SameRegion,
+            false => Locality::OtherRegion,
         }
     }
 }
--- a/lib/src/fleet_news.rs
+++ b/lib/src/fleet_news.rs
@@ -112,7 +112,7 @@
         });
         server
             .cold
-            .told(now, Duration::from_millis(u64::from(load.cold)));
+            .set_remaining(now, Duration::from_millis(u64::from(load.cold)));
         let unseen = UNSEEN + trip;
         server.unseen.retain(|sent| now.since(sent.at) < unseen);
         turned
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -24,9 +24,9 @@
 use crate::gossip::Word;
 use crate::peers::Turns;
 use crate::platform::HostRecord;
-use crate::probes::Acked;
+use crate::probes::PingOrigin;
+use crate::probes::ProbeStep;
 use crate::probes::Probes;
-use crate::probes::Step;
 use crate::roster::Distance;
 use crate::roster::Member;
 use crate::roster::MemberState;
@@ -215,11 +215,11 @@
             self.broadcast_queue.queue_own_update(now);
         }
         let mut out = Vec::new();
-        for step in self.probes.steps(now) {
+        for step in self.probes.due_steps(now) {
             self.step(now, step, &mut out, rng);
         }
         let cost = |words| EMPTY_BYTES + words * WORD_BYTES;
-        for round in self.broadcast_queue.rounds(now, cost) {
+        for round in self.broadcast_queue.due_rounds(now, cost) {
             for place in 0..round.copies {
                 let distance = match place % 5 {
                     0..3 => Distance::Zone,
@@ -257,7 +257,7 @@
             said: message.said,
         };
         if self.roster.hear_directly(now, word) {
-            self.broadcast_queue.add(now, word);
+            self.broadcast_queue.push(now, word);
         }
         if let Some(mark) = &message.config {
             self.news.note(Some(message.id), mark);
@@ -285,7 +285,7 @@
             // Bad news that is new to a newcomer is old. When all restart at once, they would else
             // pass on the last words of each other's predecessors.
             if !self.is_fresh(now) || word.said == Said::Ready {
-                self.broadcast_queue.add(now, word);
+                self.broadcast_queue.push(now, word);
             }
             if word.said == Said::Suspect && rng.u32(..100) < CURIOUS {
                 // Where one is gone, its neighbours may be: a rack, a zone, the link to a region.
@@ -351,7 +351,7 @@
                 out.push(Datagram { to: from, message });
             }
             Purpose::Ack(nonce) => {
-                if let Acked::For { address, nonce } = self.probes.acked(nonce) {
+                if let PingOrigin::Requester { address, nonce } = self.probes.handle_ack(nonce) {
                     let word = Word {
                         id: message.id,
                         life: message.life,
@@ -365,17 +365,23 @@
                 }
             }
             Purpose::Ask { nonce, target } => {
-                let nonce = self.probes.begin_for(now, target, from, nonce, rng);
+                let nonce = self.probes.start_indirect(now, target, from, nonce, rng);
                 let words = Vec::new();
                 self.send(now, Some(target), Purpose::Ping(nonce), words, out);
             }
-            Purpose::Reached { nonce } => self.probes.reached(nonce),
+            Purpose::Reached { nonce } => self.probes.mark_reached(nonce),
         }
     }
 
-    fn step(&mut self, now: Time, step: Step, out: &mut Vec<Datagram>, rng: &mut fastrand::Rng) {
+    fn step(
+        &mut self,
+        now: Time,
+        step: ProbeStep,
+        out: &mut Vec<Datagram>,
+        rng: &mut fastrand::Rng,
+    ) {
         match step {
-            Step::Repeat { nonce, target, ask } => {
+            ProbeStep::Retry { nonce, target, ask } => {
                 let words = Vec::new();
                 self.send(now, Some(target), Purpose::Ping(nonce), words, out);
                 let helpers = if ask { HELPERS.as_slice() } else { &[] };
@@ -386,17 +392,17 @@
                     self.send(now, helper, purpose, Vec::new(), out);
                 }
             }
-            Step::LinkSilent(target) => {
+            ProbeStep::LinkDown(target) => {
                 self.counts.silent_links += 1;
                 self.roster.link_is_silent(now, target);
                 // Loss may have hit all three pings: the next one tells within a second.
                 self.recheck.push(target);
             }
             // Who hears nobody is cut off itself, and has nothing to say of others.
-            Step::Condemn { target, since } if self.heard <= since => {
+            ProbeStep::Suspect { target, since } if self.heard <= since => {
                 self.roster.link_is_silent(now, target);
             }
-            Step::Condemn { target, since } => self.condemn(now, target, since),
+            ProbeStep::Suspect { target, since } => self.condemn(now, target, since),
         }
     }
 
@@ -414,12 +420,12 @@
         };
         if self.roster.hear(now, word) {
             self.counts.suspected += 1;
-            self.broadcast_queue.add(now, word);
+            self.broadcast_queue.push(now, word);
         }
     }
 
     fn beat(&mut self, now: Time, out: &mut Vec<Datagram>, rng: &mut fastrand::Rng) {
-        let words = self.broadcast_queue.ride(RIDERS);
+        let words = self.broadcast_queue.piggyback(RIDERS);
         let target = self.turns.next(now, &self.roster, rng);
         let reminders = self.roster.unready(REMINDERS, rng);
         self.ping(now, target, reminders, out, rng);
@@ -456,7 +462,7 @@
         rng: &mut fastrand::Rng,
     ) {
         if let Some(target) = target {
-            let nonce = self.probes.begin(now, target, rng);
+            let nonce = self.probes.start(now, target, rng);
             self.send(now, Some(target), Purpose::Ping(nonce), words, out);
         }
     }
--- a/lib/src/move_plan.rs
+++ b/lib/src/move_plan.rs
@@ -32,27 +32,27 @@
     /// Total tokens of memory.
     pub capacity: u64,
     /// Running and waiting requests: as last reported, plus runs moved there since.
-    pub busy: u32,
+    pub requests: u32,
     /// Whether it is in the availability zone of the draining engine. A copy to another zone of the region takes
     /// twice as long.
-    pub near: bool,
+    pub same_zone: bool,
     /// Whether it is cold: a recently started engine tolerates few arrivals, and others send requests there too.
     pub cold: bool,
     /// Whether it announces a request limit. A run that is moved there counts towards the limit.
     pub limited: bool,
     /// Whether it is assigned to this engine among those that drain at the same time. See [`is_assigned_to`].
-    pub own: bool,
+    pub assigned: bool,
 }
 
 /// Whether the target with this index is assigned to `engine`, if several engines drain at the same time: targets are
 /// assigned round-robin. Copies from two engines to one target would wait for each other on its link, together with
 /// the run that is paused for its last copy step. `leaving` and the targets are sorted by address at every engine, so
 /// that all engines agree.
-pub fn is_assigned_to(engine: SocketAddr, leaving: &[SocketAddr], place: usize) -> bool {
+pub fn is_assigned_to(engine: SocketAddr, leaving: &[SocketAddr], index: usize) -> bool {
     let mut all: Vec<SocketAddr> = leaving.iter().copied().chain([engine]).collect();
     all.sort();
     all.dedup();
-    all[place % all.len()] == engine
+    all[index % all.len()] == engine
 }
 
 /// Whether a rank marks a run that is expected to be short. See [`rank`].
@@ -93,10 +93,10 @@
         let free = target.capacity - target.used;
         (
             !target.cold && !target.limited,
-            target.own,
-            target.near,
+            target.assigned,
+            target.same_zone,
             free,
-            std::cmp::Reverse(target.busy),
+            std::cmp::Reverse(target.requests),
         )
     })
 }
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -33,19 +33,19 @@
 
 copy_type! {
     /// Network distance of a server, as seen from this process.
-    pub enum Reach {
+    pub enum Locality {
         /// In the same availability zone.
-        Zone,
+        SameZone,
         /// In another availability zone of the same region.
-        Region,
+        SameRegion,
         /// In another region.
-        Far,
+        OtherRegion,
     }
 }
 
 copy_type! {
     /// Probe round of one placement decision.
-    pub enum Round {
+    pub enum ProbeRound {
         /// Probes engines of the local region.
         First,
         /// Repeats the probe with other engines after all of the first round were overloaded.
@@ -59,7 +59,7 @@
     /// The server.
     pub key: ServerKey,
     /// How far away it is.
-    pub reach: Reach,
+    pub locality: Locality,
 }
 
 /// Whether load reports at this interval are too stale to choose a server by.
@@ -71,22 +71,22 @@
 ///
 /// If the round's zones and regions have no server, any of the `options` are picked.
 pub fn probe_targets(
-    round: Round,
+    round: ProbeRound,
     options: &[Candidate],
     rng: &mut fastrand::Rng,
 ) -> Vec<ServerKey> {
-    let within = |reach: &[Reach]| -> Vec<Candidate> {
-        let matching = options.iter().filter(|c| reach.contains(&c.reach));
+    let within = |locality: &[Locality]| -> Vec<Candidate> {
+        let matching = options.iter().filter(|c| locality.contains(&c.locality));
         matching.copied().collect()
     };
-    let near = [Reach::Zone, Reach::Region];
+    let near = [Locality::SameZone, Locality::SameRegion];
     let mut targets = match round {
-        Round::First => sample(within(&[Reach::Zone]), FIRST_ROUND_ZONE, rng),
-        Round::Second => sample(within(&near), SECOND_ROUND_NEAR, rng),
+        ProbeRound::First => sample(within(&[Locality::SameZone]), FIRST_ROUND_ZONE, rng),
+        ProbeRound::Second => sample(within(&near), SECOND_ROUND_NEAR, rng),
     };
     targets.extend(match round {
-        Round::First => sample(within(&[Reach::Region]), FIRST_ROUND_REGION, rng),
-        Round::Second => sample(within(&[Reach::Far]), SECOND_ROUND_FAR, rng),
+        ProbeRound::First => sample(within(&[Locality::SameRegion]), FIRST_ROUND_REGION, rng),
+        ProbeRound::Second => sample(within(&[Locality::OtherRegion]), SECOND_ROUND_FAR, rng),
     });
     match targets.is_empty() {
         true => sample(options.to_vec(), FIRST_ROUND_ZONE + FIRST_ROUND_REGION, rng),
--- a/lib/src/probes.rs
+++ b/lib/src/probes.rs
@@ -40,27 +40,27 @@
 
 /// Next step for an unanswered ping.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Step {
+pub(crate) enum ProbeStep {
     /// Ping the target again and, if `ask` is set, ask other processes to ping it too.
-    Repeat {
+    Retry {
         nonce: u32,
         target: MemberId,
         ask: bool,
     },
     /// Other processes reach the target, so only the direct link is down.
-    LinkSilent(MemberId),
+    LinkDown(MemberId),
     /// No process reached the target, which was first pinged at `since`.
-    Condemn { target: MemberId, since: Time },
+    Suspect { target: MemberId, since: Time },
 }
 
-/// How to treat the answer to a ping.
-pub(crate) enum Acked {
-    /// The ping has timed out; ignore the answer.
-    Late,
-    /// This process sent the ping for itself.
+/// Who sent the ping that an answer belongs to.
+pub(crate) enum PingOrigin {
+    /// No such ping is outstanding: it timed out.
+    Unknown,
+    /// This process, for itself.
     Own,
-    /// Another process asked for the ping, with this nonce; forward the answer to it.
-    For { address: SocketAddr, nonce: u32 },
+    /// Another process, which asked for the ping with this nonce and gets the answer forwarded.
+    Requester { address: SocketAddr, nonce: u32 },
 }
 
 /// Outstanding pings.
@@ -73,12 +73,12 @@
 
 impl Probes {
     /// Starts a direct probe and returns the nonce of its ping.
-    pub(crate) fn begin(&mut self, now: Time, target: MemberId, rng: &mut fastrand::Rng) -> u32 {
+    pub(crate) fn start(&mut self, now: Time, target: MemberId, rng: &mut fastrand::Rng) -> u32 {
         self.insert(now, target, None, rng)
     }
 
     /// Starts an indirect probe, on behalf of another process, and returns the nonce of its ping.
-    pub(crate) fn begin_for(
+    pub(crate) fn start_indirect(
         &mut self,
         now: Time,
         target: MemberId,
@@ -91,16 +91,16 @@
     }
 
     /// Handles the answer to a ping.
-    pub(crate) fn acked(&mut self, nonce: u32) -> Acked {
+    pub(crate) fn handle_ack(&mut self, nonce: u32) -> PingOrigin {
         match self.outstanding.remove(&nonce) {
-            None => Acked::Late,
+            None => PingOrigin::Unknown,
             Some(Probe {
                 requester: None, ..
-            }) => Acked::Own,
+            }) => PingOrigin::Own,
             Some(Probe {
                 requester: Some(requester),
                 ..
-            }) => Acked::For {
+            }) => PingOrigin::Requester {
                 address: requester.address,
                 nonce: requester.nonce,
             },
@@ -108,14 +108,14 @@
     }
 
     /// Records that another process has reached the target of a ping.
-    pub(crate) fn reached(&mut self, nonce: u32) {
+    pub(crate) fn mark_reached(&mut self, nonce: u32) {
         if let Some(probe) = self.outstanding.get_mut(&nonce) {
             probe.reached = true;
         }
     }
 
     /// Returns the steps that are due. Must be called several times a second.
-    pub(crate) fn steps(&mut self, now: Time) -> Vec<Step> {
+    pub(crate) fn due_steps(&mut self, now: Time) -> Vec<ProbeStep> {
         if now.since(self.last_tick) > MAX_TICK_GAP {
             self.outstanding.clear();
         }
@@ -132,7 +132,7 @@
             }
             if probe.retries < MAX_RETRIES && age >= PING_TIMEOUT * (probe.retries + 1) {
                 probe.retries += 1;
-                steps.push(Step::Repeat {
+                steps.push(ProbeStep::Retry {
                     nonce: *nonce,
                     target: probe.target,
                     ask: probe.retries == 1,
@@ -163,11 +163,11 @@
     }
 }
 
-fn verdict(probe: &Probe) -> Step {
+fn verdict(probe: &Probe) -> ProbeStep {
     if probe.reached {
-        Step::LinkSilent(probe.target)
+        ProbeStep::LinkDown(probe.target)
     } else {
-        Step::Condemn {
+        ProbeStep::Suspect {
             target: probe.target,
             since: probe.sent_at,
         }
--- a/lib/src/round_trips.rs
+++ b/lib/src/round_trips.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use crate::ids::Name;
-use crate::placement::Reach;
+use crate::placement::Locality;
 use crate::time::Time;
 
 /// Assumed round trips within a region and between regions until a probe is answered.
@@ -32,7 +32,7 @@
 
 impl RoundTrips {
     /// Records the round trip of an answered probe of a zone.
-    pub fn answered(&mut self, now: Time, zone: &Name, took: Duration) {
+    pub fn record(&mut self, now: Time, zone: &Name, took: Duration) {
         let probes = self.zones.entry(zone.clone()).or_default();
         probes.push_back((now, took));
         if probes.len() > MAX_PROBES {
@@ -41,11 +41,11 @@
     }
 
     /// Estimated round trip to a zone: the shortest of its recent probes.
-    pub fn estimate(&self, now: Time, zone: &Name, reach: Reach) -> Duration {
-        let prior = match reach {
-            Reach::Zone => return Duration::ZERO,
-            Reach::Region => REGION_PRIOR,
-            Reach::Far => FAR_PRIOR,
+    pub fn estimate(&self, now: Time, zone: &Name, locality: Locality) -> Duration {
+        let prior = match locality {
+            Locality::SameZone => return Duration::ZERO,
+            Locality::SameRegion => REGION_PRIOR,
+            Locality::OtherRegion => FAR_PRIOR,
         };
         let probes = self.zones.get(zone).into_iter().flatten();
         let fresh = probes.filter(|(at, _)| now.since(*at) < MAX_PROBE_AGE);
--- a/lib/src/service_time.rs
+++ b/lib/src/service_time.rs
@@ -31,7 +31,7 @@
 
 impl ServiceTime {
     /// Records a call that found an idle slot and was answered after `took`.
-    pub fn answered(&mut self, took: Duration) {
+    pub fn record(&mut self, took: Duration) {
         let took = took.min(self.0.mul_f64(MAX_OUTLIER));
         self.0 = self.0.mul_f64(1.0 - NEW_WEIGHT) + took.mul_f64(NEW_WEIGHT);
     }
--- a/lib/tests/burst/mod.rs
+++ b/lib/tests/burst/mod.rs
@@ -373,7 +373,7 @@
             return;
         };
         let engine = &mut self.engines[usize::from(address.ip().octets()[3])];
-        engine.load_tracker.sent(now, &word);
+        engine.load_tracker.record_sent(now, &word);
         engine.runs.push(Run {
             id: word.id,
             unread: caller.prompt,
@@ -435,14 +435,14 @@
             ..EngineReport::default()
         };
         let (running, reading) = (report.running, report.reading);
-        at.load_tracker.look(now, report);
-        let plan = at.load_tracker.plan(now, None);
+        at.load_tracker.update(now, report);
+        let forecast = at.load_tracker.forecast(now, None);
         let load = EngineLoad {
             running,
             reading,
             used,
-            planned: plan.tokens,
-            unread: plan.unread,
+            planned: forecast.peak_tokens,
+            unread: forecast.prefill_tokens,
             capacity: CAPACITY,
             ..EngineLoad::default()
         };
--- a/lib/tests/engine_load_tracker.rs
+++ b/lib/tests/engine_load_tracker.rs
@@ -5,7 +5,7 @@
 use cicada_lib::dialect::EngineReport;
 use cicada_lib::dialect::EngineRun;
 use cicada_lib::engine_load_tracker::EngineLoadTracker;
-use cicada_lib::engine_load_tracker::Plan;
+use cicada_lib::engine_load_tracker::LoadForecast;
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::LoadAsk;
 use cicada_lib::peer_words::SentWord;
@@ -44,9 +44,9 @@
 }
 
 /// Takes in a report and returns the forecast at the same time.
-fn forecast(load_tracker: &mut EngineLoadTracker, now: Time, report: EngineReport) -> Plan {
-    load_tracker.look(now, report);
-    load_tracker.plan(now, None)
+fn forecast(load_tracker: &mut EngineLoadTracker, now: Time, report: EngineReport) -> LoadForecast {
+    load_tracker.update(now, report);
+    load_tracker.forecast(now, None)
 }
 
 /// Two entries send between two reports. Before the engine reports either request, the forecast includes the peak memory
@@ -54,11 +54,11 @@
 #[test]
 fn requests_in_transit_count_at_once() {
     let mut load_tracker = EngineLoadTracker::new();
-    load_tracker.sent(millis(0), &request("a", 3_000, 4_000));
-    load_tracker.sent(millis(1), &request("b", 2_000, 2_020));
-    let plan = forecast(&mut load_tracker, millis(10), report(vec![], 0));
-    assert_eq!(plan.unread, 5_000);
-    assert_eq!(plan.tokens, 5_040);
+    load_tracker.record_sent(millis(0), &request("a", 3_000, 4_000));
+    load_tracker.record_sent(millis(1), &request("b", 2_000, 2_020));
+    let load = forecast(&mut load_tracker, millis(10), report(vec![], 0));
+    assert_eq!(load.prefill_tokens, 5_000);
+    assert_eq!(load.peak_tokens, 5_040);
 }
 
 /// A run counts with its expected final size, is assumed to keep growing once it exceeds that, and is dropped when it
@@ -66,21 +66,21 @@
 #[test]
 fn a_run_counts_with_its_expected_final_size() {
     let mut load_tracker = EngineLoadTracker::new();
-    load_tracker.sent(millis(0), &request("a", 3_000, 4_000));
-    let plan = forecast(
+    load_tracker.record_sent(millis(0), &request("a", 3_000, 4_000));
+    let load = forecast(
         &mut load_tracker,
         millis(500),
         report(vec![run("a", 3_100)], 0),
     );
-    assert_eq!((plan.tokens, plan.unread), (4_000, 0));
-    let plan = forecast(
+    assert_eq!((load.peak_tokens, load.prefill_tokens), (4_000, 0));
+    let load = forecast(
         &mut load_tracker,
         millis(9_000),
         report(vec![run("a", 4_500)], 0),
     );
-    assert!(plan.tokens > 4_500, "{plan:?}");
-    let plan = forecast(&mut load_tracker, millis(9_500), report(vec![], 0));
-    assert_eq!(plan.tokens, 0);
+    assert!(load.peak_tokens > 4_500, "{load:?}");
+    let load = forecast(&mut load_tracker, millis(9_500), report(vec![], 0));
+    assert_eq!(load.peak_tokens, 0);
     assert!(load_tracker.is_empty());
 }
 
@@ -88,11 +88,11 @@
 #[test]
 fn runs_that_end_at_different_times_share_memory() {
     let mut load_tracker = EngineLoadTracker::new();
-    load_tracker.sent(millis(0), &request("a", 1_000, 3_000));
-    load_tracker.sent(millis(0), &request("b", 3_000, 3_400));
+    load_tracker.record_sent(millis(0), &request("a", 1_000, 3_000));
+    load_tracker.record_sent(millis(0), &request("b", 3_000, 3_400));
     let runs = vec![run("a", 1_000), run("b", 3_000)];
-    let plan = forecast(&mut load_tracker, millis(500), report(runs, 0));
-    assert_eq!(plan.tokens, 4_800);
+    let load = forecast(&mut load_tracker, millis(500), report(runs, 0));
+    assert_eq!(load.peak_tokens, 4_800);
 }
 
 /// If an announcement or a request was lost, the engine's own count of waiting requests takes precedence, and requests
@@ -100,15 +100,15 @@
 #[test]
 fn the_engine_s_own_count_takes_precedence() {
     let mut load_tracker = EngineLoadTracker::new();
-    let plan = forecast(&mut load_tracker, millis(0), report(vec![], 2));
+    let load = forecast(&mut load_tracker, millis(0), report(vec![], 2));
     assert!(
-        plan.unread >= 4_000 && plan.tokens > plan.unread,
-        "{plan:?}"
+        load.prefill_tokens >= 4_000 && load.peak_tokens > load.prefill_tokens,
+        "{load:?}"
     );
-    load_tracker.sent(millis(0), &request("refused", 3_000, 4_000));
-    assert!(forecast(&mut load_tracker, millis(100), report(vec![], 0)).tokens > 0);
-    let plan = forecast(&mut load_tracker, millis(1_000), report(vec![], 0));
-    assert_eq!((plan.tokens, plan.unread), (0, 0));
+    load_tracker.record_sent(millis(0), &request("refused", 3_000, 4_000));
+    assert!(forecast(&mut load_tracker, millis(100), report(vec![], 0)).peak_tokens > 0);
+    let load = forecast(&mut load_tracker, millis(1_000), report(vec![], 0));
+    assert_eq!((load.peak_tokens, load.prefill_tokens), (0, 0));
     assert!(load_tracker.is_empty());
 }
 
@@ -118,7 +118,7 @@
     let mut load_tracker = EngineLoadTracker::new();
     for number in 0..10_000u64 {
         let now = millis(number * 20);
-        load_tracker.sent(now, &request(&format!("r-{number}"), 100, 200));
+        load_tracker.record_sent(now, &request(&format!("r-{number}"), 100, 200));
         forecast(
             &mut load_tracker,
             now + Duration::from_millis(5),
@@ -143,14 +143,20 @@
 #[test]
 fn a_reservation_counts_in_part() {
     let mut load_tracker = EngineLoadTracker::new();
-    load_tracker.look(millis(0), report(vec![], 0));
-    load_tracker.claimed(millis(10), &ask("a", 3_000, 5));
-    load_tracker.claimed(millis(10), &ask("b", 2_000, 5));
-    let for_b = load_tracker.plan(millis(11), Some(&Name::new("b")));
-    assert_eq!(for_b.unread, 600);
-    load_tracker.sent(millis(12), &request("a", 3_000, 3_500));
-    assert_eq!(load_tracker.plan(millis(13), None).unread, 3_400);
-    assert_eq!(load_tracker.plan(millis(100), None).unread, 3_000);
+    load_tracker.update(millis(0), report(vec![], 0));
+    load_tracker.reserve(millis(10), &ask("a", 3_000, 5));
+    load_tracker.reserve(millis(10), &ask("b", 2_000, 5));
+    let load_for_b = load_tracker.forecast(millis(11), Some(&Name::new("b")));
+    assert_eq!(load_for_b.prefill_tokens, 600);
+    load_tracker.record_sent(millis(12), &request("a", 3_000, 3_500));
+    assert_eq!(
+        load_tracker.forecast(millis(13), None).prefill_tokens,
+        3_400
+    );
+    assert_eq!(
+        load_tracker.forecast(millis(100), None).prefill_tokens,
+        3_000
+    );
 }
 
 /// Ten relays probe an idle engine at almost the same time, as one of five engines each: it still looks able to prefill
@@ -158,19 +164,22 @@
 #[test]
 fn many_reservations_do_not_make_an_engine_look_overloaded() {
     let mut load_tracker = EngineLoadTracker::new();
-    load_tracker.look(millis(0), report(vec![], 0));
+    load_tracker.update(millis(0), report(vec![], 0));
     for number in 0..10 {
-        load_tracker.claimed(millis(number), &ask(&format!("r-{number}"), 2_500, 5));
+        load_tracker.reserve(millis(number), &ask(&format!("r-{number}"), 2_500, 5));
     }
-    assert!(load_tracker.plan(millis(10), None).unread <= 5_000);
+    assert!(load_tracker.forecast(millis(10), None).prefill_tokens <= 5_000);
 }
 
 /// The engine reports one prompt in prefill, and another request was sent after the report. Both count.
 #[test]
 fn a_request_sent_after_the_report_counts_in_addition() {
     let mut load_tracker = EngineLoadTracker::new();
-    load_tracker.sent(millis(0), &request("a", 3_000, 3_500));
-    load_tracker.look(millis(400), report(vec![], 1));
-    load_tracker.sent(millis(410), &request("b", 2_000, 2_500));
-    assert_eq!(load_tracker.plan(millis(411), None).unread, 5_000);
+    load_tracker.record_sent(millis(0), &request("a", 3_000, 3_500));
+    load_tracker.update(millis(400), report(vec![], 1));
+    load_tracker.record_sent(millis(410), &request("b", 2_000, 2_500));
+    assert_eq!(
+        load_tracker.forecast(millis(411), None).prefill_tokens,
+        5_000
+    );
 }
--- a/lib/tests/move_plan.rs
+++ b/lib/tests/move_plan.rs
@@ -33,9 +33,9 @@
         address: SocketAddr::from(([10, 0, 0, 1], port)),
         used,
         capacity: 34_000,
-        busy: 3,
-        own: true,
-        near: true,
+        requests: 3,
+        assigned: true,
+        same_zone: true,
         cold: false,
         limited: false,
     }
@@ -128,20 +128,20 @@
 fn engines_that_drain_together_use_different_targets() {
     let address = |last: u8| SocketAddr::from(([10, 0, 0, last], 8_701));
     let (one, other) = (address(1), address(2));
-    for place in 0..6 {
-        let first = is_assigned_to(one, &[other], place);
-        let second = is_assigned_to(other, &[one], place);
+    for index in 0..6 {
+        let first = is_assigned_to(one, &[other], index);
+        let second = is_assigned_to(other, &[one], index);
         assert!(
             first != second,
-            "target {place} is assigned to exactly one engine"
+            "target {index} is assigned to exactly one engine"
         );
         assert!(
-            is_assigned_to(one, &[], place),
+            is_assigned_to(one, &[], index),
             "a single engine has all targets"
         );
     }
     let mut targets = [target(1, 2_000), target(2, 20_000)];
-    targets[0].own = false;
+    targets[0].assigned = false;
     assert_eq!(
         choose_target(4_000, &targets, &[]).unwrap().address.port(),
         2
@@ -156,7 +156,7 @@
 #[test]
 fn targets_in_the_same_zone_are_preferred_but_not_required() {
     let mut targets = [target(1, 2_000), target(2, 20_000)];
-    targets[0].near = false;
+    targets[0].same_zone = false;
     assert_eq!(
         choose_target(4_000, &targets, &[]).unwrap().address.port(),
         2
--- a/lib/tests/placement.rs
+++ b/lib/tests/placement.rs
@@ -4,8 +4,8 @@
 
 use cicada_lib::placement;
 use cicada_lib::placement::Candidate;
-use cicada_lib::placement::Reach;
-use cicada_lib::placement::Round;
+use cicada_lib::placement::Locality;
+use cicada_lib::placement::ProbeRound;
 use cicada_lib::routing::ServerKey;
 use slotmap::SlotMap;
 
@@ -61,28 +61,28 @@
 
 fn options(zone: usize, region: usize, far: usize) -> Vec<Candidate> {
     let mut keys: SlotMap<ServerKey, ()> = SlotMap::with_key();
-    let reaches = [
-        (Reach::Zone, zone),
-        (Reach::Region, region),
-        (Reach::Far, far),
+    let localities = [
+        (Locality::SameZone, zone),
+        (Locality::SameRegion, region),
+        (Locality::OtherRegion, far),
     ];
-    let all = reaches
+    let all = localities
         .iter()
-        .flat_map(|(reach, count)| vec![*reach; *count]);
-    let candidates = all.map(|reach| Candidate {
+        .flat_map(|(locality, count)| vec![*locality; *count]);
+    let candidates = all.map(|locality| Candidate {
         key: keys.insert(()),
-        reach,
+        locality,
     });
     candidates.collect()
 }
 
-fn reaches(options: &[Candidate], probed: &[ServerKey]) -> Vec<Reach> {
+fn localities(options: &[Candidate], probed: &[ServerKey]) -> Vec<Locality> {
     let found = probed
         .iter()
         .filter_map(|key| options.iter().find(|c| c.key == *key));
-    let mut reaches: Vec<Reach> = found.map(|c| c.reach).collect();
-    reaches.sort();
-    reaches
+    let mut localities: Vec<Locality> = found.map(|c| c.locality).collect();
+    localities.sort();
+    localities
 }
 
 /// Engines of the local availability zone and region are probed first, others only in the second round or if there are
@@ -91,15 +91,15 @@
 fn near_engines_are_probed_first() {
     let mut rng = fastrand::Rng::with_seed(1);
     let all = options(20, 20, 80);
-    let first = placement::probe_targets(Round::First, &all, &mut rng);
-    let near = [vec![Reach::Zone; 3], vec![Reach::Region; 2]].concat();
-    assert_eq!(reaches(&all, &first), near);
-    let second = placement::probe_targets(Round::Second, &all, &mut rng);
-    assert!(reaches(&all, &second).contains(&Reach::Far));
+    let first = placement::probe_targets(ProbeRound::First, &all, &mut rng);
+    let near = [vec![Locality::SameZone; 3], vec![Locality::SameRegion; 2]].concat();
+    assert_eq!(localities(&all, &first), near);
+    let second = placement::probe_targets(ProbeRound::Second, &all, &mut rng);
+    assert!(localities(&all, &second).contains(&Locality::OtherRegion));
     let far = options(0, 0, 80);
-    let only = placement::probe_targets(Round::First, &far, &mut rng);
-    assert_eq!(reaches(&far, &only), vec![Reach::Far; 5]);
-    assert!(placement::probe_targets(Round::First, &[], &mut rng).is_empty());
+    let only = placement::probe_targets(ProbeRound::First, &far, &mut rng);
+    assert_eq!(localities(&far, &only), vec![Locality::OtherRegion; 5]);
+    assert!(placement::probe_targets(ProbeRound::First, &[], &mut rng).is_empty());
 }
 
 /// Engines are drawn at random, so that relays probe different ones, and none is probed twice for one request.
@@ -109,7 +109,7 @@
     let mut counts = std::collections::HashMap::new();
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut probed = placement::probe_targets(Round::First, &all, &mut rng);
+        let mut probed = placement::probe_targets(ProbeRound::First, &all, &mut rng);
         probed.sort();
         let count = probed.len();
         probed.dedup();
--- a/lib/tests/prefill_rate.rs
+++ b/lib/tests/prefill_rate.rs
@@ -12,7 +12,7 @@
         prefilled += rate * 30.0;
         let begun = (prefilled / 2_400.0) as u64 * 2_400;
         prefilled -= begun as f64;
-        estimate.looked(Time::from_millis(at), true, begun);
+        estimate.record_sample(Time::from_millis(at), true, begun);
     }
     estimate
 }
@@ -35,12 +35,12 @@
     let mut estimate = sampled(10.0, 20_000);
     let before = estimate.per_ms();
     for at in (20_000..30_000).step_by(30) {
-        estimate.looked(Time::from_millis(at), false, 0);
+        estimate.record_sample(Time::from_millis(at), false, 0);
     }
     // The first idle sample still ends an interval in which a prompt was being prefilled.
     assert!((estimate.per_ms() - before).abs() < 0.1 * before);
     let before = estimate.per_ms();
-    estimate.looked(Time::from_millis(90_000), true, 0);
+    estimate.record_sample(Time::from_millis(90_000), true, 0);
     assert_eq!(estimate.per_ms(), before);
 }
 
@@ -48,9 +48,9 @@
 #[test]
 fn the_estimate_is_bounded() {
     let mut estimate = PrefillRate::default();
-    (0..1_000).for_each(|n| estimate.looked(Time::from_millis(n * 10), true, 1_000_000));
+    (0..1_000).for_each(|n| estimate.record_sample(Time::from_millis(n * 10), true, 1_000_000));
     assert!(estimate.per_ms() <= 10.0 * PRIOR);
     let mut estimate = PrefillRate::default();
-    (0..100_000).for_each(|n| estimate.looked(Time::from_millis(n * 30), true, 0));
+    (0..100_000).for_each(|n| estimate.record_sample(Time::from_millis(n * 30), true, 0));
     assert!(estimate.per_ms() >= 0.1 * PRIOR);
 }
--- a/lib/tests/relays/mod.rs
+++ b/lib/tests/relays/mod.rs
@@ -21,7 +21,7 @@
 use cicada_lib::peer_words::LoadAsk;
 use cicada_lib::peer_words::SentWord;
 use cicada_lib::placement;
-use cicada_lib::placement::Round;
+use cicada_lib::placement::ProbeRound;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::site::ServerRecord;
 use cicada_lib::site::ServiceSpec;
@@ -264,16 +264,16 @@
             runs: runs.collect(),
             ..EngineReport::default()
         };
-        at.load_tracker.look(now, report);
+        at.load_tracker.update(now, report);
     }
 
     fn load(&self, engine: usize, without: Option<&Name>) -> EngineLoad {
         let at = &self.engines[engine];
-        let plan = at.load_tracker.plan(self.time(), without);
+        let forecast = at.load_tracker.forecast(self.time(), without);
         EngineLoad {
             running: (at.runs.len() + at.prompts.len()) as u32,
-            planned: plan.tokens,
-            unread: plan.unread,
+            planned: forecast.peak_tokens,
+            unread: forecast.prefill_tokens,
             capacity: CAPACITY,
             every: self.interval as u32,
             ..EngineLoad::default()
@@ -324,7 +324,7 @@
             tokens: need.tokens,
         };
         let at = &mut self.engines[number];
-        at.load_tracker.sent(now, &word);
+        at.load_tracker.record_sent(now, &word);
         if at.prompts.is_empty() {
             at.free = self.now + (prompt as f64 / READ) as u64;
         }
@@ -348,7 +348,7 @@
             return None;
         }
         let options = self.relays[relay].options(now, need, &spec());
-        let asked = placement::probe_targets(Round::First, &options, &mut self.rng);
+        let asked = placement::probe_targets(ProbeRound::First, &options, &mut self.rng);
         for key in &asked {
             let engine = self.relays[relay].record(*key).expect("asked").address;
             let load = self.load(number(engine), Some(id));
@@ -359,7 +359,7 @@
                 tokens: need.tokens,
                 asked: asked.len() as u32,
             };
-            self.engines[number(engine)].load_tracker.claimed(now, &ask);
+            self.engines[number(engine)].load_tracker.reserve(now, &ask);
             self.relays[relay].answered(now, &here(number(engine)), &load);
         }
         Some(asked)
--- a/lib/tests/round_trips.rs
+++ b/lib/tests/round_trips.rs
@@ -8,7 +8,7 @@
 use cicada_lib::fleet::Need;
 use cicada_lib::fleet::Place;
 use cicada_lib::ids::Name;
-use cicada_lib::placement::Reach;
+use cicada_lib::placement::Locality;
 use cicada_lib::round_trips::RoundTrips;
 use cicada_lib::site::ServiceSpec;
 use cicada_lib::time::Time;
@@ -24,20 +24,20 @@
 fn the_estimate_is_the_shortest_recent_probe() {
     let mut trips = RoundTrips::default();
     let zone = Name::new("far");
-    let prior = trips.estimate(millis(0), &zone, Reach::Far);
+    let prior = trips.estimate(millis(0), &zone, Locality::OtherRegion);
     for (at, took) in [(1, 240), (2, 221), (3, 900), (4, 230)] {
-        trips.answered(millis(at), &zone, took * MS);
+        trips.record(millis(at), &zone, took * MS);
     }
-    let estimate = trips.estimate(millis(5), &zone, Reach::Far);
+    let estimate = trips.estimate(millis(5), &zone, Locality::OtherRegion);
     assert_eq!(estimate, 221 * MS);
     // A longer round trip is adopted once the earlier probes are dropped.
-    (6..20).for_each(|at| trips.answered(millis(at), &zone, 400 * MS));
-    let estimate = trips.estimate(millis(20), &zone, Reach::Far);
+    (6..20).for_each(|at| trips.record(millis(at), &zone, 400 * MS));
+    let estimate = trips.estimate(millis(20), &zone, Locality::OtherRegion);
     assert_eq!(estimate, 400 * MS);
-    let forgotten = trips.estimate(millis(60_000), &zone, Reach::Far);
+    let forgotten = trips.estimate(millis(60_000), &zone, Locality::OtherRegion);
     assert_eq!(forgotten, prior);
     assert_eq!(
-        trips.estimate(millis(5), &zone, Reach::Zone),
+        trips.estimate(millis(5), &zone, Locality::SameZone),
         Duration::ZERO
     );
 }
--- a/relay/src/choice.rs
+++ b/relay/src/choice.rs
@@ -8,7 +8,7 @@
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::LoadAsk;
 use cicada_lib::placement;
-use cicada_lib::placement::Round;
+use cicada_lib::placement::ProbeRound;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::site::ServerRecord;
 use cicada_lib::site::ServiceSpec;
@@ -32,7 +32,7 @@
     };
     let mut tried = need.tried.to_vec();
     let mut turned = None;
-    for round in [Round::First, Round::Second] {
+    for round in [ProbeRound::First, ProbeRound::Second] {
         let next = Need {
             tried: &tried,
             ..need.clone()
@@ -73,7 +73,12 @@
 }
 
 /// The servers whose scouts are asked.
-fn targets(relay: &Relay, need: &Need<'_>, spec: &ServiceSpec, round: Round) -> Vec<ServerKey> {
+fn targets(
+    relay: &Relay,
+    need: &Need<'_>,
+    spec: &ServiceSpec,
+    round: ProbeRound,
+) -> Vec<ServerKey> {
     let options = relay.fleet().options(relay.now(), need, spec);
     placement::probe_targets(round, &options, &mut fastrand::Rng::new())
 }
--- a/relay/src/run_mover.rs
+++ b/relay/src/run_mover.rs
@@ -92,17 +92,17 @@
         let leaving: Vec<SocketAddr> = leaving.iter().map(|n| n.report.here.address).collect();
         staying.sort_by_key(|n| n.report.here.address);
         let limited = lock(&self.limited);
-        let targets = staying.iter().enumerate().map(|(place, n)| Target {
+        let targets = staying.iter().enumerate().map(|(index, n)| Target {
             address: n.report.here.address,
             used: n.report.load.used + n.sent,
             capacity: n.report.load.capacity,
-            busy: n.report.load.running + n.report.load.queued + n.runs,
-            near: n.report.here.zone == *zone,
+            requests: n.report.load.running + n.report.load.queued + n.runs,
+            same_zone: n.report.here.zone == *zone,
             cold: n.report.load.cold > 0,
             limited: limited
                 .get(&n.report.here.address)
                 .is_some_and(|told| told.elapsed() < LIMITED_AGE),
-            own: move_plan::is_assigned_to(engine, &leaving, place),
+            assigned: move_plan::is_assigned_to(engine, &leaving, index),
         });
         targets.collect()
     }
--- a/relay/src/scout.rs
+++ b/relay/src/scout.rs
@@ -158,7 +158,7 @@
                 }
                 health = self.identity.answered() => {
                     if let Some(health) = health {
-                        self.cold.told(self.clock.now(), health.cold);
+                        self.cold.set_remaining(self.clock.now(), health.cold);
                         self.tell_identity(health.id).await;
                     }
                 }
@@ -177,7 +177,7 @@
                 self.neighbours.report(&report);
             }
             Ok(Datagram::Sent(word)) if word.engine == self.here.address => {
-                self.load_tracker.sent(self.clock.now(), &word);
+                self.load_tracker.record_sent(self.clock.now(), &word);
                 self.heard = Instant::now();
             }
             Ok(Datagram::Ended(word)) if word.engine == self.here.address => {
@@ -209,7 +209,7 @@
             return;
         };
         let report = self.word(&report, Some(&ask.id));
-        self.load_tracker.claimed(now, &ask);
+        self.load_tracker.reserve(now, &ask);
         let word = Datagram::Answer(LoadAnswer { id: ask.id, report });
         self.socket.send(&word, &[from]).await;
     }
@@ -267,7 +267,7 @@
         if watched.is_none_or(|(at, _)| now.since(*at) >= UNWATCHED) {
             self.cold.note_possible_start(now);
         }
-        self.load_tracker.look(now, report.clone());
+        self.load_tracker.update(now, report.clone());
         if !report.leaving {
             self.identity.ask(&self.engines, self.here.address);
         }
--- a/relay/src/scout_reports.rs
+++ b/relay/src/scout_reports.rs
@@ -73,7 +73,7 @@
     /// What is told of the engine, but for the request `without`.
     pub(crate) fn word(&mut self, report: &EngineReport, without: Option<&Name>) -> ScoutReport {
         let now = self.clock.now();
-        let plan = self.load_tracker.plan(now, without);
+        let forecast = self.load_tracker.forecast(now, without);
         ScoutReport {
             here: self.here.clone(),
             load: EngineLoad {
@@ -82,14 +82,14 @@
                 running: report.running,
                 reading: report.reading,
                 used: report.used,
-                planned: plan.tokens,
-                unread: plan.unread,
+                planned: forecast.peak_tokens,
+                unread: forecast.prefill_tokens,
                 reads: (self.load_tracker.prefill_rate() * 10.0) as u32,
                 capacity: report.capacity,
                 failing: (self.outcomes.rate(now) * 100.0) as u8,
                 leaving: report.leaving,
                 leaves: report.leaves.map(|time| time.as_millis() as u32),
-                cold: self.cold.left(now, self.cold_period).as_millis() as u32,
+                cold: self.cold.remaining(now, self.cold_period).as_millis() as u32,
                 every: self.every().as_millis() as u32,
             },
         }
