--- a/lib/src/site.rs
+++ b/lib/src/site.rs
@@ -63,13 +63,13 @@
         /// Latency objective for the answer, or for the first event of a stream.
         pub objective: Duration,
         /// Objective for the gap between events: the longest that callers do not notice. Zero if the route has none.
-        pub gap: Duration,
+        pub event_gap: Duration,
         /// Priority among routes: 0 is the most urgent.
         pub priority: u32,
         /// Destinations; never empty.
         pub shares: Vec<Share>,
         /// Maximum number of backend servers that one request may be sent to; at least 1.
-        pub attempts: u32,
+        pub max_attempts: u32,
         /// Whether a stream may be resumed in another run, after the last event that its caller received.
         pub resumable: bool,
         /// Whether requests are accepted without an API key.
@@ -93,13 +93,13 @@
     /// Limits on callers' connections and requests.
     pub struct CallerLimits {
         /// Maximum size of a request head, in bytes.
-        pub header: usize,
+        pub max_header_bytes: usize,
         /// Maximum size of a request body, in bytes.
-        pub body: usize,
+        pub max_body_bytes: usize,
         /// Maximum time to receive a request head.
-        pub header_time: Duration,
+        pub header_timeout: Duration,
         /// Maximum idle time of a connection.
-        pub idle: Duration,
+        pub idle_timeout: Duration,
     }
 }
 
@@ -107,10 +107,10 @@
     /// The limits in force until a configuration is loaded.
     fn default() -> Self {
         CallerLimits {
-            header: 16 * 1024,
-            body: 1024 * 1024,
-            header_time: Duration::from_secs(5),
-            idle: Duration::from_secs(15),
+            max_header_bytes: 16 * 1024,
+            max_body_bytes: 1024 * 1024,
+            header_timeout: Duration::from_secs(5),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -123,23 +123,23 @@
         /// KV memory of one engine, in tokens.
         pub capacity: u64,
         /// KV memory per token, in bytes.
-        pub token_bytes: u64,
+        pub bytes_per_token: u64,
         /// Bandwidth of copies between engines, in megabits per second.
         pub link_mbps: f64,
         /// Whether running requests can be moved between engines.
-        pub moves: bool,
+        pub supports_moves: bool,
         /// Whether engines keep backups of other engines' runs.
-        pub backups: bool,
+        pub keeps_backups: bool,
         /// Tokens per stream event.
-        pub stride: u32,
+        pub tokens_per_event: u32,
     }
 
     /// Configuration of a service.
     pub struct ServiceSpec {
         /// Path of the health check on a backend server.
-        pub health: Name,
+        pub health_path: Name,
         /// Maximum number of connections to one backend server, from all hosts together.
-        pub connections: u32,
+        pub max_connections: u32,
         /// Engine properties; `None` for a plain service.
         pub engine: Option<EngineSpec>,
         /// Cold-start limits of its servers.
--- a/lib/testutils/src/site.rs
+++ b/lib/testutils/src/site.rs
@@ -13,16 +13,16 @@
 /// A service of engines with so many slots and tokens of memory.
 pub fn engine_service(slots: u32, capacity: u64) -> ServiceSpec {
     ServiceSpec {
-        health: Name::new("/healthz"),
-        connections: 400,
+        health_path: Name::new("/healthz"),
+        max_connections: 400,
         engine: Some(EngineSpec {
             slots,
             capacity,
-            token_bytes: 18_432,
+            bytes_per_token: 18_432,
             link_mbps: 2_700.0,
-            moves: true,
-            backups: true,
-            stride: 4,
+            supports_moves: true,
+            keeps_backups: true,
+            tokens_per_event: 4,
         }),
         cold: ColdStart::default(),
     }
--- a/relay/src/attempts.rs
+++ b/relay/src/attempts.rs
@@ -137,7 +137,7 @@
 
     /// Whether a request that may have run can be sent to one more server. Takes nothing.
     pub(crate) fn may_repeat(&self, call: &Call) -> bool {
-        let more = self.sent + 1 < call.admitted.route.attempts && self.chosen < MOST_SERVERS;
+        let more = self.sent + 1 < call.admitted.route.max_attempts && self.chosen < MOST_SERVERS;
         call.is_repeatable() && more
     }
 
@@ -169,7 +169,7 @@
         }
         self.sent += 1;
         let may = call.is_repeatable() || !self.ran;
-        may && self.sent < call.admitted.route.attempts && self.take_retry(relay, call)
+        may && self.sent < call.admitted.route.max_attempts && self.take_retry(relay, call)
     }
 
     /// Takes one of the service's further sends.
--- a/relay/src/caller_server.rs
+++ b/relay/src/caller_server.rs
@@ -111,13 +111,13 @@
         .timer(TokioTimer::new())
         .header_read_timeout(None)
         .half_close(false)
-        .max_buf_size(limits.header.max(8 * 1024));
+        .max_buf_size(limits.max_header_bytes.max(8 * 1024));
     let serving = builder.serve_connection(io, handler);
     tokio::pin!(serving);
     let mut closing = false;
     let mut ending = relay.ending();
     loop {
-        let due = progress.due(limits.header_time, limits.idle);
+        let due = progress.due(limits.header_timeout, limits.idle_timeout);
         let overdue = async {
             match due {
                 Some((at, why)) if !closing => {
@@ -126,7 +126,7 @@
                 }
                 // Nothing is due while a request is open; its own limits hold.
                 _ => {
-                    sleep(limits.idle).await;
+                    sleep(limits.idle_timeout).await;
                     Overdue::Idle
                 }
             }
@@ -140,7 +140,7 @@
             }
             why = overdue => {
                 let now = std::time::Instant::now();
-                let still = progress.due(limits.header_time, limits.idle);
+                let still = progress.due(limits.header_timeout, limits.idle_timeout);
                 match still {
                     Some((at, Overdue::Head)) if at <= now => {
                         relay.figures().overdue("head");
--- a/relay/src/exchange.rs
+++ b/relay/src/exchange.rs
@@ -124,7 +124,7 @@
     /// Tokens in one event of the service's engines.
     pub(crate) fn stride(&self) -> u32 {
         let engine = self.spec.engine.as_ref();
-        engine.map_or(1, |engine| engine.stride.max(1))
+        engine.map_or(1, |engine| engine.tokens_per_event.max(1))
     }
 
     /// The caller's identifier of the attempt, for logs.
@@ -186,7 +186,7 @@
     let time = time_limit(&admitted.route, head.deadline);
     let limit = arrived + time;
     let deadline = came + time;
-    let body = read_body(body, table.config().limits.body, limit).await?;
+    let body = read_body(body, table.config().limits.max_body_bytes, limit).await?;
     let service = share_of(&admitted.route, fastrand::f64()).cloned();
     let service = service.ok_or(OwnAnswer::NotRun(start_pause()))?;
     let spec = table
--- a/relay/src/relay_view.rs
+++ b/relay/src/relay_view.rs
@@ -300,7 +300,7 @@
             let group = groups.entry(key).or_insert_with(|| EngineGroup {
                 engines: Vec::new(),
                 near: region == own,
-                health: spec.health.clone(),
+                health: spec.health_path.clone(),
                 cold: spec.cold.period,
                 limited: fleet
                     .limited_at(&server.service)
--- a/relay/src/run_moves.rs
+++ b/relay/src/run_moves.rs
@@ -51,7 +51,7 @@
             .spec
             .engine
             .as_ref()
-            .is_some_and(|engine| engine.moves);
+            .is_some_and(|engine| engine.supports_moves);
         if !may || self.failed_moves >= MOST_MOVES || self.rest() < SHORT_REST {
             return;
         }
--- a/relay/src/stream_run.rs
+++ b/relay/src/stream_run.rs
@@ -270,7 +270,7 @@
         let route = &self.call.admitted.route;
         let reading = self.placed.reading();
         Some(match self.latest > self.begun {
-            true => self.latest + progress_timeout::next_event(route.gap, reading),
+            true => self.latest + progress_timeout::next_event(route.event_gap, reading),
             false => self.begun + progress_timeout::first_event(route.objective, reading),
         })
     }
