--- a/daemon/src/attempts.rs
+++ b/daemon/src/attempts.rs
@@ -8,8 +8,8 @@
 use cicada_lib::outcome::RefusalReason;
 use cicada_lib::outcome::RetryReason;
 use cicada_lib::outcome::UnknownReason;
-use cicada_lib::routing::Ask;
-use cicada_lib::routing::EndResult;
+use cicada_lib::routing::AttemptResult;
+use cicada_lib::routing::RouteRequest;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::suspects::Verdict;
 use cicada_lib::wire::Attach;
@@ -49,7 +49,7 @@
                     return Ok(());
                 }
             }
-            self.leave(EndResult::Lost);
+            self.leave(AttemptResult::Lost);
             let refusal = NotRun::never_sent(RefusalReason::ConnectFailed);
             self.retry(RetryReason::ConnectFailed, refusal).await?;
         }
@@ -61,7 +61,7 @@
             Work::Generate { max_tokens, .. } => (*max_tokens).min(EXPECTED_TOKENS),
             Work::Call(_) => 1,
         };
-        let ask = Ask {
+        let ask = RouteRequest {
             service: &request.service,
             model: &request.model,
             workspace: &request.workspace,
@@ -141,7 +141,7 @@
     }
 
     pub(crate) async fn abandon(&mut self) -> Result<(), Outcome> {
-        self.leave(EndResult::Lost);
+        self.leave(AttemptResult::Lost);
         self.lost = None;
         if self.generation.is_some() {
             return Err(Outcome::Failed(FailureReason::BackendLost));
--- a/daemon/src/dispatch.rs
+++ b/daemon/src/dispatch.rs
@@ -21,8 +21,8 @@
 use cicada_lib::outcome::RefusalReason;
 use cicada_lib::outcome::RetryReason;
 use cicada_lib::outcome::UnknownReason;
-use cicada_lib::routing::End;
-use cicada_lib::routing::EndResult;
+use cicada_lib::routing::AttemptEnd;
+use cicada_lib::routing::AttemptResult;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::suspects::Fingerprint;
 use cicada_lib::time::Time;
@@ -306,7 +306,7 @@
             }
             Outcome::Failed(FailureReason::BackendLost) if self.may_move() => {
                 self.stream = None;
-                self.leave(EndResult::Failed);
+                self.leave(AttemptResult::Failed);
                 self.doubt = Some(outcome.clone());
                 let reason = RetryReason::LostBeforeFirstToken;
                 match self.again(reason, outcome).await {
@@ -316,7 +316,7 @@
             }
             Outcome::Unknown(_) if self.may_move() => {
                 self.stream = None;
-                self.leave(EndResult::Lost);
+                self.leave(AttemptResult::Lost);
                 self.doubt = Some(outcome.clone());
                 match self.again(RetryReason::LostBeforeFirstToken, outcome).await {
                     Ok(()) => None,
@@ -329,7 +329,7 @@
 
     pub(crate) async fn refused(&mut self, reason: RetryReason, refusal: NotRun) -> Option<Part> {
         self.stream = None;
-        self.leave(EndResult::Refused);
+        self.leave(AttemptResult::Refused);
         if !may_help(refusal.reason()) {
             return Some(self.end(Outcome::NotRun(refusal), 0));
         }
@@ -339,14 +339,14 @@
         }
     }
 
-    pub(crate) fn leave(&mut self, result: EndResult) {
+    pub(crate) fn leave(&mut self, result: AttemptResult) {
         let Some(server) = self.server.take() else {
             return;
         };
         let duration = self.entry.clock().now().since(self.handed);
-        let mut end = End::new(result, duration);
+        let mut end = AttemptEnd::new(result, duration);
         end.tokens = self.next;
-        end.began = self.generation.is_some();
+        end.first_token = self.generation.is_some();
         self.entry.finished(server, &end);
     }
 
@@ -358,12 +358,12 @@
         self.ended = true;
         self.stream = None;
         self.leave(match &outcome {
-            Outcome::Completed(_) => EndResult::Ok,
-            Outcome::NotRun(_) => EndResult::Refused,
-            Outcome::Failed(FailureReason::Cancelled) => EndResult::Cancelled,
-            Outcome::Failed(_) => EndResult::Failed,
+            Outcome::Completed(_) => AttemptResult::Ok,
+            Outcome::NotRun(_) => AttemptResult::Refused,
+            Outcome::Failed(FailureReason::Cancelled) => AttemptResult::Cancelled,
+            Outcome::Failed(_) => AttemptResult::Failed,
             // The agent itself said so, and can be reached: a loss was told when it was found.
-            Outcome::Unknown(_) => EndResult::Failed,
+            Outcome::Unknown(_) => AttemptResult::Failed,
         });
         let waited = self.entry.clock().now().since(self.progress);
         self.longest = self.longest.max(waited);
@@ -391,7 +391,7 @@
         self.entry.metrics().open().dec();
         if !self.ended {
             self.stream = None;
-            self.leave(EndResult::Cancelled);
+            self.leave(AttemptResult::Cancelled);
         }
     }
 }
--- a/daemon/src/entry.rs
+++ b/daemon/src/entry.rs
@@ -14,8 +14,8 @@
 use cicada_lib::outcome::RefusalReason;
 use cicada_lib::outcome::RetryReason;
 use cicada_lib::router::Router;
-use cicada_lib::routing::Ask;
-use cicada_lib::routing::End;
+use cicada_lib::routing::AttemptEnd;
+use cicada_lib::routing::RouteRequest;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::routing::ServerState;
 use cicada_lib::routing::ServerView;
@@ -148,7 +148,7 @@
     }
 
     /// Chooses a server.
-    pub(crate) fn choose(&self, ask: &Ask<'_>) -> Result<Chosen, NotRun> {
+    pub(crate) fn choose(&self, ask: &RouteRequest<'_>) -> Result<Chosen, NotRun> {
         let now = self.clock.now();
         let mut router = self.routing.lock();
         let key = router.choose(now, ask, &mut fastrand::Rng::new())?;
@@ -165,7 +165,7 @@
     }
 
     /// Tells the router of the end of an attempt.
-    pub(crate) fn finished(&self, server: ServerKey, end: &End) {
+    pub(crate) fn finished(&self, server: ServerKey, end: &AttemptEnd) {
         let now = self.clock.now();
         self.routing.lock().finished(now, server, end);
     }
--- a/lib/benches/routing.rs
+++ b/lib/benches/routing.rs
@@ -6,9 +6,9 @@
 use cicada_lib::ids::Name;
 use cicada_lib::load::LoadSummary;
 use cicada_lib::router::Router;
-use cicada_lib::routing::Ask;
-use cicada_lib::routing::End;
-use cicada_lib::routing::EndResult;
+use cicada_lib::routing::AttemptEnd;
+use cicada_lib::routing::AttemptResult;
+use cicada_lib::routing::RouteRequest;
 use cicada_lib::routing::RouterSettings;
 use cicada_lib::routing::ServerState;
 use cicada_lib::routing::ServerView;
@@ -73,7 +73,7 @@
                     tick += 700;
                     let now = Time::from_micros(tick);
                     let model = model(0);
-                    let ask = Ask {
+                    let ask = RouteRequest {
                         service: &service,
                         model: &model,
                         workspace: &workspace,
@@ -86,7 +86,7 @@
                     if let Ok(key) = black_box(chosen) {
                         router.started(now, key, &ask);
                         router.first_token(now, key, Duration::from_millis(100));
-                        let end = End::new(EndResult::Ok, Duration::from_secs(10));
+                        let end = AttemptEnd::new(AttemptResult::Ok, Duration::from_secs(10));
                         let end = end.with_first_token().with_tokens(250);
                         router.finished(now, key, &end);
                     }
--- a/lib/examples/routing_trial.rs
+++ b/lib/examples/routing_trial.rs
@@ -77,8 +77,8 @@
         plain("least reported", Way::LeastReported),
         plain("random two", Way::RandomTwo),
         router("router", |s| s),
-        router("router, 2 choices", |s| s.with_choices(2)),
-        router("router, whole subset", |s| s.with_choices(64)),
+        router("router, 2 choices", |s| s.with_sample_size(2)),
+        router("router, whole subset", |s| s.with_sample_size(64)),
         router("router, no ejection", |s| {
             s.with_ejection(EjectionSettings::new().with_share(0.0))
         }),
--- a/lib/src/choice.rs
+++ b/lib/src/choice.rs
@@ -8,8 +8,8 @@
 use crate::outcome::RefusalReason;
 use crate::prefix_index::PrefixIndex;
 use crate::reach::Reach;
-use crate::routing::Ask;
 use crate::routing::Candidate;
+use crate::routing::RouteRequest;
 use crate::routing::RouterSettings;
 use crate::routing::ServerKey;
 use crate::routing::Standing;
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Choice<'a> {
     pub(crate) now: Time,
-    pub(crate) ask: &'a Ask<'a>,
+    pub(crate) ask: &'a RouteRequest<'a>,
     pub(crate) settings: &'a RouterSettings,
     pub(crate) servers: &'a SlotMap<ServerKey, Server>,
     pub(crate) service: &'a ServiceState,
@@ -201,7 +201,7 @@
         if self.service.ejector.is_ejected(key) {
             return Standing::Ejected;
         }
-        if server.flow.says_unreachable(self.now) || self.reach.avoids(self.now, key) {
+        if server.load.says_unreachable(self.now) || self.reach.avoids(self.now, key) {
             return Standing::Unreachable;
         }
         Standing::Usable
@@ -215,7 +215,7 @@
         let server = &self.servers[key];
         let ask = self.ask;
         let tokens = ask.expected_tokens;
-        let estimate = server.flow.estimate(self.now, tokens, &self.service.mean);
+        let estimate = server.load.estimate(self.now, tokens, &self.service.mean);
         let worth = micros(self.settings.prefix_worth);
         let held = ask.prefix != 0 && self.prefixes.holds(self.now, key, ask.prefix);
         let here = estimate.wait + estimate.crowding;
--- a/lib/src/router.rs
+++ b/lib/src/router.rs
@@ -24,10 +24,10 @@
 use crate::prefix_index::PrefixIndex;
 use crate::reach::Reach;
 use crate::rendezvous::hash_name;
-use crate::routing::Ask;
+use crate::routing::AttemptEnd;
+use crate::routing::AttemptResult;
 use crate::routing::Candidate;
-use crate::routing::End;
-use crate::routing::EndResult;
+use crate::routing::RouteRequest;
 use crate::routing::RouterSettings;
 use crate::routing::ServerKey;
 use crate::routing::ServerState;
@@ -130,7 +130,7 @@
             return;
         };
         let was_ready = known.is_ready();
-        let news = known.flow.report(now, load.clone());
+        let news = known.load.report(now, load.clone());
         let changed = known.is_ready() != was_ready;
         let service = known.view.service.clone();
         if let Some(state) = self.services.get_mut(&service) {
@@ -161,7 +161,7 @@
     pub fn choose(
         &mut self,
         now: Time,
-        ask: &Ask<'_>,
+        ask: &RouteRequest<'_>,
         rng: &mut fastrand::Rng,
     ) -> Result<ServerKey, NotRun> {
         self.sweep(now, ask.service);
@@ -174,11 +174,11 @@
     }
 
     /// The request was handed to the server.
-    pub fn started(&mut self, now: Time, server: ServerKey, ask: &Ask<'_>) {
+    pub fn started(&mut self, now: Time, server: ServerKey, ask: &RouteRequest<'_>) {
         let Some(known) = self.servers.get_mut(server) else {
             return;
         };
-        known.flow.started(now);
+        known.load.started(now);
         let view = &known.view;
         self.reach.started(now, server, &view.region);
         if !self.cost.is_local(view) {
@@ -199,21 +199,21 @@
             return;
         };
         let waited = waited.saturating_sub(self.cost.trip(&known.view));
-        known.flow.first_token(now, waited);
+        known.load.first_token(now, waited);
         self.reach.answered(server, &known.view.region);
     }
 
     /// The request is over at the server.
-    pub fn finished(&mut self, now: Time, server: ServerKey, end: &End) {
+    pub fn finished(&mut self, now: Time, server: ServerKey, end: &AttemptEnd) {
         let Some(known) = self.servers.get_mut(server) else {
             return;
         };
-        known.flow.finished(now, end.duration, end.began);
+        known.load.finished(now, end.duration, end.first_token);
         let region = known.view.region.clone();
         match end.result {
-            EndResult::Lost => self.reach.lost(now, server, &region),
-            EndResult::Cancelled => {}
-            EndResult::Ok | EndResult::Refused | EndResult::Failed => {
+            AttemptResult::Lost => self.reach.lost(now, server, &region),
+            AttemptResult::Cancelled => {}
+            AttemptResult::Ok | AttemptResult::Refused | AttemptResult::Failed => {
                 self.reach.answered(server, &region);
             }
         }
@@ -224,7 +224,7 @@
             service.mean.ended(end.duration);
             judge(service, now, server, end);
         }
-        if !known.listed && known.flow.in_flight() == 0 {
+        if !known.listed && known.load.in_flight() == 0 {
             self.servers.remove(server);
         }
     }
@@ -252,7 +252,7 @@
 
     /// Requests that this entry has in flight at a server.
     pub fn in_flight(&self, server: ServerKey) -> u32 {
-        self.servers.get(server).map_or(0, |s| s.flow.in_flight())
+        self.servers.get(server).map_or(0, |s| s.load.in_flight())
     }
 
     /// Servers of a service that are ejected.
@@ -262,7 +262,7 @@
     }
 
     /// Every member for the request's model, best first. Takes O(n log n); for operators.
-    pub fn explain(&self, now: Time, ask: &Ask<'_>) -> Vec<Candidate> {
+    pub fn explain(&self, now: Time, ask: &RouteRequest<'_>) -> Vec<Candidate> {
         match self.choice(now, ask) {
             Ok(choice) => choice.candidates(),
             Err(_) => Vec::new(),
@@ -302,7 +302,7 @@
         known.listed = false;
         known.view.state = ServerState::Gone;
         let name = known.view.service.clone();
-        if known.flow.in_flight() == 0 {
+        if known.load.in_flight() == 0 {
             self.servers.remove(key);
         }
         if let Some(service) = self.services.get_mut(&name) {
@@ -325,7 +325,7 @@
     }
 
     /// The order of servers for a keyed call; empty for any other.
-    fn order(&mut self, ask: &Ask<'_>) -> Vec<ServerKey> {
+    fn order(&mut self, ask: &RouteRequest<'_>) -> Vec<ServerKey> {
         let Some(affinity) = ask.affinity else {
             return Vec::new();
         };
@@ -334,7 +334,7 @@
         pool.map_or_else(Vec::new, |pool| pool.order(affinity).to_vec())
     }
 
-    fn choice<'a>(&'a self, now: Time, ask: &'a Ask<'a>) -> Result<Choice<'a>, NotRun> {
+    fn choice<'a>(&'a self, now: Time, ask: &'a RouteRequest<'a>) -> Result<Choice<'a>, NotRun> {
         let service = self.services.get(ask.service);
         let service = service.ok_or_else(|| refuse(RefusalReason::ServiceUnknown))?;
         let pool = service.pools.get(ask.model);
@@ -353,15 +353,15 @@
     }
 }
 
-fn judge(service: &mut ServiceState, now: Time, server: ServerKey, end: &End) {
+fn judge(service: &mut ServiceState, now: Time, server: ServerKey, end: &AttemptEnd) {
     let pace = match end.tokens {
         0 => Some(end.duration),
         tokens if tokens < PACE_TOKENS => None,
         tokens => Some(end.duration / tokens),
     };
     match (end.result, pace) {
-        (EndResult::Ok, Some(pace)) => service.ejector.ended(now, server, pace),
-        (EndResult::Failed | EndResult::Lost, _) => service.ejector.failed(now, server),
+        (AttemptResult::Ok, Some(pace)) => service.ejector.ended(now, server, pace),
+        (AttemptResult::Failed | AttemptResult::Lost, _) => service.ejector.failed(now, server),
         _ => {}
     }
 }
--- a/lib/src/routing.rs
+++ b/lib/src/routing.rs
@@ -43,7 +43,7 @@
 
     /// How a request that was handed to a server ended.
     #[derive(Copy)]
-    pub enum EndResult {
+    pub enum AttemptResult {
         /// It ran to its end.
         Ok,
         /// The server refused it before it ran.
@@ -58,9 +58,9 @@
 
     /// What is known at the end of a request that was handed to a server.
     #[derive(Copy)]
-    pub struct End {
+    pub struct AttemptEnd {
         /// How it ended.
-        pub result: EndResult,
+        pub result: AttemptResult,
         /// From the hand-over to the end.
         pub duration: Duration,
         /// Tokens delivered; zero for a plain call.
@@ -68,7 +68,7 @@
         /// Bytes carried both ways.
         pub bytes: u64,
         /// Whether [`Router::first_token`](crate::router::Router::first_token) was told of it.
-        pub began: bool,
+        pub first_token: bool,
     }
 
     /// Why a server is or is not a candidate.
@@ -115,7 +115,7 @@
 
 /// A request that needs a server.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct RouteRequest<'a> {
     /// The service.
     pub service: &'a Name,
     /// The model or adapter; empty for a plain service.
@@ -132,15 +132,15 @@
     pub tried: &'a [ServerKey],
 }
 
-impl End {
+impl AttemptEnd {
     /// An end of the given kind, with no tokens and no bytes.
-    pub fn new(result: EndResult, duration: Duration) -> Self {
-        End {
+    pub fn new(result: AttemptResult, duration: Duration) -> Self {
+        AttemptEnd {
             result,
             duration,
             tokens: 0,
             bytes: 0,
-            began: false,
+            first_token: false,
         }
     }
 
@@ -158,7 +158,7 @@
 
     /// The same end, of a request whose first token had come.
     pub fn with_first_token(mut self) -> Self {
-        self.began = true;
+        self.first_token = true;
         self
     }
 }
@@ -225,7 +225,7 @@
     }
 
     /// Servers sampled for each choice, 1 to 64.
-    pub fn with_choices(mut self, servers: usize) -> Self {
+    pub fn with_sample_size(mut self, servers: usize) -> Self {
         self.choices = servers.clamp(1, 64);
         self
     }
--- a/lib/src/score.rs
+++ b/lib/src/score.rs
@@ -52,7 +52,7 @@
 
 /// The servers of a service on average. Times in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Mean {
+pub(crate) struct ServiceMean {
     pub(crate) wait: f64,
     pub(crate) load: f64,
     pub(crate) gap: f64,
@@ -60,7 +60,7 @@
     pub(crate) duration: f64,
 }
 
-impl Mean {
+impl ServiceMean {
     const WEIGHT: f64 = 0.05;
 
     /// Takes in one server's report.
@@ -92,7 +92,7 @@
 
 /// The work that one entry has at a server, and what it knows of the server's other work.
 #[derive(Debug, Default)]
-pub(crate) struct Flow {
+pub(crate) struct LoadTracker {
     in_flight: u32,
     // Of those in flight, the ones without a first token.
     pending: u32,
@@ -112,7 +112,7 @@
     duration: f64,
 }
 
-impl Flow {
+impl LoadTracker {
     /// Takes in a report; whether it told anything new.
     pub(crate) fn report(&mut self, now: Time, load: LoadSummary) -> bool {
         self.heard = now;
@@ -157,7 +157,7 @@
     }
 
     /// Whether the server itself has said that it leaves.
-    pub(crate) fn says_draining(&self) -> bool {
+    pub(crate) fn reports_draining(&self) -> bool {
         self.report.draining
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// What a request of `tokens` would meet that started now.
-    pub(crate) fn estimate(&self, now: Time, tokens: u32, mean: &Mean) -> Estimate {
+    pub(crate) fn estimate(&self, now: Time, tokens: u32, mean: &ServiceMean) -> Estimate {
         let fresh = match self.reported {
             Some(at) => fade(now.since(at), mean.report_half()),
             None => 0.0,
--- a/lib/src/service.rs
+++ b/lib/src/service.rs
@@ -13,8 +13,8 @@
 use crate::routing::ServerKey;
 use crate::routing::ServerState;
 use crate::routing::ServerView;
-use crate::score::Flow;
-use crate::score::Mean;
+use crate::score::LoadTracker;
+use crate::score::ServiceMean;
 use crate::subset::Member;
 use crate::subset::Pool;
 use crate::subset::SubsetRule;
@@ -25,7 +25,7 @@
 pub(crate) struct Server {
     pub(crate) view: ServerView,
     pub(crate) hash: u64,
-    pub(crate) flow: Flow,
+    pub(crate) load: LoadTracker,
     // Whether the platform's list still has it. One that left is kept while requests are in flight.
     pub(crate) listed: bool,
 }
@@ -35,14 +35,14 @@
         Server {
             hash: hash_name(&view.name),
             view,
-            flow: Flow::default(),
+            load: LoadTracker::default(),
             listed: true,
         }
     }
 
     /// Whether it takes new work, by the worst of what the list and the server itself say.
     pub(crate) fn is_ready(&self) -> bool {
-        self.view.state == ServerState::Ready && !self.flow.says_draining()
+        self.view.state == ServerState::Ready && !self.load.reports_draining()
     }
 }
 
@@ -55,7 +55,7 @@
     pub(crate) pools: HashMap<Name, Pool>,
     pub(crate) ejector: Ejector,
     pub(crate) retries: RetryBudget,
-    pub(crate) mean: Mean,
+    pub(crate) mean: ServiceMean,
 }
 
 impl ServiceState {
@@ -66,7 +66,7 @@
             pools: HashMap::new(),
             ejector: Ejector::new(settings.ejection.clone()),
             retries: RetryBudget::new(settings.retry.clone(), now),
-            mean: Mean::default(),
+            mean: ServiceMean::default(),
         }
     }
 
--- a/lib/tests/routing.rs
+++ b/lib/tests/routing.rs
@@ -8,9 +8,9 @@
 use cicada_lib::outcome::RefusalReason;
 use cicada_lib::outcome::RetryReason;
 use cicada_lib::router::Router;
-use cicada_lib::routing::Ask;
-use cicada_lib::routing::End;
-use cicada_lib::routing::EndResult;
+use cicada_lib::routing::AttemptEnd;
+use cicada_lib::routing::AttemptResult;
+use cicada_lib::routing::RouteRequest;
 use cicada_lib::routing::RouterSettings;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::routing::ServerState;
@@ -35,8 +35,8 @@
         }
     }
 
-    fn ask<'a>(&'a self, tried: &'a [ServerKey]) -> Ask<'a> {
-        Ask {
+    fn ask<'a>(&'a self, tried: &'a [ServerKey]) -> RouteRequest<'a> {
+        RouteRequest {
             service: &self.service,
             model: &self.model,
             workspace: &self.workspace,
@@ -202,7 +202,7 @@
     let mut routers = [router(3, 3), with_settings(settings("south"), 3, 3)];
     let mut rng = fastrand::Rng::with_seed(1);
     for affinity in 0..200 {
-        let ask = Ask {
+        let ask = RouteRequest {
             affinity: Some(affinity),
             ..words.ask(&[])
         };
@@ -213,7 +213,7 @@
         }
         assert_eq!(names[0], names[1]);
     }
-    let ask = Ask {
+    let ask = RouteRequest {
         affinity: Some(7),
         ..words.ask(&[])
     };
@@ -238,7 +238,7 @@
         stored: true,
     };
     router.cache_event(Time::ZERO, holder, &event);
-    let ask = Ask {
+    let ask = RouteRequest {
         prefix: 99,
         ..words.ask(&[])
     };
@@ -268,11 +268,11 @@
         router.started(now, key, &ask);
         let result = if router.name(key).unwrap().as_str().starts_with("north") {
             lost += 1;
-            EndResult::Lost
+            AttemptResult::Lost
         } else {
-            EndResult::Ok
+            AttemptResult::Ok
         };
-        let end = End::new(result, Duration::from_millis(4));
+        let end = AttemptEnd::new(result, Duration::from_millis(4));
         router.finished(now + Duration::from_millis(4), key, &end);
     }
     assert!(lost >= 3, "the region is not probed: {lost}");
@@ -301,7 +301,7 @@
     router.started(Time::ZERO, key, &words.ask(&[]));
     router.set_servers(Time::ZERO, &[]);
     assert!(router.name(key).is_some());
-    let end = End::new(EndResult::Ok, Duration::from_millis(4));
+    let end = AttemptEnd::new(AttemptResult::Ok, Duration::from_millis(4));
     router.finished(Time::ZERO, key, &end);
     assert!(router.name(key).is_none());
 }
@@ -326,7 +326,7 @@
             };
             states[index] = state;
             router.set_state(now, &name, state);
-            let ask = Ask {
+            let ask = RouteRequest {
                 affinity: (what > 128).then_some(u64::from(which)),
                 ..words.ask(&[])
             };
@@ -339,7 +339,7 @@
                 }
             }
             router.started(now, key, &ask);
-            let end = End::new(EndResult::Failed, Duration::from_millis(5));
+            let end = AttemptEnd::new(AttemptResult::Failed, Duration::from_millis(5));
             if what > 64 {
                 router.finished(now, key, &end);
             }
--- a/lib/testutils/src/fake_fleet.rs
+++ b/lib/testutils/src/fake_fleet.rs
@@ -12,7 +12,7 @@
 use cicada_lib::ids::Name;
 use cicada_lib::load::LoadSummary;
 use cicada_lib::outcome::RetryReason;
-use cicada_lib::routing::EndResult;
+use cicada_lib::routing::AttemptResult;
 use cicada_lib::routing::ServerState;
 use cicada_lib::routing::ServerView;
 use cicada_lib::time::Time;
@@ -178,7 +178,7 @@
     Reach(usize),
     First(usize),
     Done(usize),
-    Ended(usize, EndResult),
+    Ended(usize, AttemptResult),
     Retry(usize),
     Report(usize),
     Heartbeat(usize, usize),
@@ -365,7 +365,10 @@
         job.server = server;
         job.sent = now;
         if self.servers[server].lost {
-            self.at(now + CONNECT_TIMEOUT, Event::Ended(index, EndResult::Lost));
+            self.at(
+                now + CONNECT_TIMEOUT,
+                Event::Ended(index, AttemptResult::Lost),
+            );
         } else {
             self.at(now + way, Event::Reach(index));
         }
@@ -376,11 +379,14 @@
         let way = self.way(job.entry, job.server);
         let server = &mut self.servers[job.server];
         if server.lost {
-            self.at(now + CONNECT_TIMEOUT, Event::Ended(index, EndResult::Lost));
+            self.at(
+                now + CONNECT_TIMEOUT,
+                Event::Ended(index, AttemptResult::Lost),
+            );
         } else if server.running < self.plan.slots {
             self.begin(now, index);
         } else if server.expected_wait(self.plan.slots) > 5e6 {
-            self.at(now + way, Event::Ended(index, EndResult::Refused));
+            self.at(now + way, Event::Ended(index, AttemptResult::Refused));
         } else {
             server.queue.push_back(index);
         }
@@ -421,13 +427,13 @@
         let server = &mut self.servers[job.server];
         server.running -= 1;
         let next = server.queue.pop_front();
-        self.at(now + way, Event::Ended(index, EndResult::Ok));
+        self.at(now + way, Event::Ended(index, AttemptResult::Ok));
         if let Some(next) = next {
             self.begin(now, next);
         }
     }
 
-    fn ended(&mut self, now: Time, index: usize, result: EndResult) {
+    fn ended(&mut self, now: Time, index: usize, result: AttemptResult) {
         let job = &mut self.jobs[index];
         let server = job.server;
         let picker = &mut self.pickers[job.entry];
@@ -439,12 +445,12 @@
             job.tokens,
             job.began,
         );
-        if result != EndResult::Lost {
+        if result != AttemptResult::Lost {
             picker.report(now, server, &self.servers[server].report);
         }
         let reason = match result {
-            EndResult::Lost => RetryReason::ConnectFailed,
-            EndResult::Refused => RetryReason::AgentRefused,
+            AttemptResult::Lost => RetryReason::ConnectFailed,
+            AttemptResult::Refused => RetryReason::AgentRefused,
             _ => return,
         };
         self.outcome.wasted += 1;
--- a/lib/testutils/src/pickers.rs
+++ b/lib/testutils/src/pickers.rs
@@ -7,9 +7,9 @@
 use cicada_lib::load::LoadSummary;
 use cicada_lib::outcome::RetryReason;
 use cicada_lib::router::Router;
-use cicada_lib::routing::Ask;
-use cicada_lib::routing::End;
-use cicada_lib::routing::EndResult;
+use cicada_lib::routing::AttemptEnd;
+use cicada_lib::routing::AttemptResult;
+use cicada_lib::routing::RouteRequest;
 use cicada_lib::routing::RouterSettings;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::routing::ServerState;
@@ -56,7 +56,7 @@
         &mut self,
         now: Time,
         server: usize,
-        result: EndResult,
+        result: AttemptResult,
         duration: Duration,
         tokens: u32,
         began: bool,
@@ -139,12 +139,12 @@
         &mut self,
         now: Time,
         server: usize,
-        result: EndResult,
+        result: AttemptResult,
         duration: Duration,
         tokens: u32,
         began: bool,
     ) {
-        let mut end = End::new(result, duration);
+        let mut end = AttemptEnd::new(result, duration);
         if began {
             end = end.with_first_token().with_tokens(tokens);
             end = end.with_bytes(u64::from(tokens) * 64);
@@ -159,8 +159,8 @@
     }
 }
 
-fn ask<'a>(service: &'a Name, request: &Request, tried: &'a [ServerKey]) -> Ask<'a> {
-    Ask {
+fn ask<'a>(service: &'a Name, request: &Request, tried: &'a [ServerKey]) -> RouteRequest<'a> {
+    RouteRequest {
         service,
         model: service,
         workspace: service,
@@ -252,7 +252,7 @@
 
     fn first_token(&mut self, _: Time, _: usize, _: Duration) {}
 
-    fn finished(&mut self, _: Time, _: usize, _: EndResult, _: Duration, _: u32, _: bool) {}
+    fn finished(&mut self, _: Time, _: usize, _: AttemptResult, _: Duration, _: u32, _: bool) {}
 
     fn may_retry(&mut self, _: Time, _: RetryReason) -> Option<Duration> {
         Some(Duration::from_millis(10))
