--- a/lib/src/choice.rs
+++ b/lib/src/choice.rs
@@ -1,4 +1,4 @@
-//! One choice of a server among the subset for a request.
+//! Selects a server for one request.
 
 use std::time::Duration;
 
@@ -9,32 +9,34 @@
 use crate::prefix_index::PrefixIndex;
 use crate::reach::Reach;
 use crate::routing::Candidate;
+use crate::routing::Eligibility;
 use crate::routing::RouteRequest;
 use crate::routing::RouterSettings;
 use crate::routing::ServerKey;
-use crate::routing::Standing;
 use crate::service::Server;
 use crate::service::ServiceState;
 use crate::subset::Pool;
 use crate::time::Time;
 use crate::zone_cost::ZoneCost;
 
-/// When to come back where all servers are leaving or unreachable: replacements and probes take about
-/// this long.
-const RECOVERY: Duration = Duration::from_secs(2);
+/// The retry-after hint when all servers are draining or unreachable: replacements and probes take
+/// about this long.
+const RECOVERY_TIME: Duration = Duration::from_secs(2);
 
-/// Times that a sampled server may be passed over before the subset is read in order.
-const SAMPLES: usize = 3;
+/// Random draws for each server to sample. A draw may hit a server that was drawn before or cannot be
+/// used; if no draw finds a server, the subset is scanned in order.
+const DRAWS_PER_SAMPLE: usize = 3;
 
-/// Servers of one region that a request is lost at before it leaves the region. The third and last try
-/// then goes elsewhere, also before the region as a whole counts as lost.
-const LOST_TRIES: usize = 2;
+/// Number of servers of one region that may be unreachable for a request before it leaves the region.
+/// The third and last attempt then goes to another region, even if this one as a whole does not count
+/// as unreachable yet.
+const MAX_LOST_ATTEMPTS: usize = 2;
 
-/// What a choice looks at.
+/// The state that the selection for one request depends on.
 #[derive(Clone, Copy)]
-pub(crate) struct Choice<'a> {
+pub(crate) struct ServerSelector<'a> {
     pub(crate) now: Time,
-    pub(crate) ask: &'a RouteRequest<'a>,
+    pub(crate) request: &'a RouteRequest<'a>,
     pub(crate) settings: &'a RouterSettings,
     pub(crate) servers: &'a SlotMap<ServerKey, Server>,
     pub(crate) service: &'a ServiceState,
@@ -44,62 +46,68 @@
     pub(crate) prefixes: &'a PrefixIndex,
 }
 
-/// The least score so far, and the servers compared.
+/// The server with the lowest score so far, and all servers compared.
 #[derive(Debug, Default)]
-struct Best {
+struct BestServer {
     server: Option<ServerKey>,
     score: u64,
     compared: Vec<ServerKey>,
 }
 
-/// The parts of a score, in microseconds.
-struct Parts {
+/// The components of a score, in microseconds.
+struct ScoreParts {
     wait: u64,
-    crowding: u64,
-    distance: u64,
-    saved: u64,
-    worth: u64,
+    contention: u64,
+    network_cost: u64,
+    // Time saved by a cached prefix at this server.
+    prefix_saving: u64,
+    // Time that a cached prefix would save.
+    max_saving: u64,
 }
 
-impl Choice<'_> {
-    /// The first usable server of a keyed call's order.
-    pub(crate) fn first(&self, order: &[ServerKey]) -> Option<ServerKey> {
+impl ServerSelector<'_> {
+    /// Returns the first usable server in the rendezvous order of a keyed call.
+    pub(crate) fn first_usable(&self, order: &[ServerKey]) -> Option<ServerKey> {
         order.iter().copied().find(|key| self.is_usable(*key))
     }
 
-    /// The best of some sampled servers, those that hold the prefix, and one of each other region.
-    pub(crate) fn best(&self, rng: &mut fastrand::Rng) -> Result<ServerKey, NotRun> {
-        let mut best = Best::default();
+    /// Selects the best of a few sampled local servers, the servers that hold the prefix, and one server
+    /// of each other region.
+    pub(crate) fn select(&self, rng: &mut fastrand::Rng) -> Result<ServerKey, NotRun> {
+        let mut best = BestServer::default();
         self.sample_local(rng, &mut best);
-        self.add_holders(&mut best);
+        self.add_prefix_holders(&mut best);
         self.add_remote(rng, &mut best);
         best.server
-            .or_else(|| self.any(rng))
-            .ok_or_else(|| self.no_server())
+            .or_else(|| self.any_usable(rng))
+            .ok_or_else(|| self.no_server_refusal())
     }
 
-    /// Every member, best first.
+    /// Returns every member, best first.
     pub(crate) fn candidates(&self) -> Vec<Candidate> {
         let members = self.pool.members();
         let mut candidates: Vec<Candidate> = members.map(|key| self.candidate(key)).collect();
-        candidates.sort_by_key(|c| (c.standing != Standing::Usable, c.score));
+        candidates.sort_by_key(|c| (c.eligibility != Eligibility::Usable, c.score));
         candidates
     }
 
-    fn sample_local(&self, rng: &mut fastrand::Rng, best: &mut Best) {
+    fn sample_local(&self, rng: &mut fastrand::Rng, best: &mut BestServer) {
         let local = &self.pool.local;
-        if local.first().is_none_or(|key| self.region_lost(*key)) {
+        if local
+            .first()
+            .is_none_or(|key| self.is_region_unreachable(*key))
+        {
             return;
         }
         let mut found = 0;
-        for _ in 0..self.settings.choices * SAMPLES {
+        for _ in 0..self.settings.sample_size * DRAWS_PER_SAMPLE {
             let key = local[rng.usize(..local.len())];
-            if best.seen(key) || !self.takes(key, rng) {
+            if best.was_compared(key) || !self.accepts(key, rng) {
                 continue;
             }
-            best.offer(key, self.score(key));
+            best.consider(key, self.score(key));
             found += 1;
-            if found == self.settings.choices {
+            if found == self.settings.sample_size {
                 return;
             }
         }
@@ -110,40 +118,41 @@
         let (before, after) = local.split_at(start);
         let mut scan = after.iter().chain(before);
         if let Some(key) = scan.find(|key| self.is_usable(**key)) {
-            best.offer(*key, self.score(*key));
+            best.consider(*key, self.score(*key));
         }
     }
 
-    fn add_holders(&self, best: &mut Best) {
-        for key in self.prefixes.holders(self.ask.prefix) {
-            let may = self.pool.holds(*key) && !best.seen(*key);
-            if may && self.crosses(*key) && self.is_usable(*key) {
-                best.offer(*key, self.score(*key));
+    fn add_prefix_holders(&self, best: &mut BestServer) {
+        for key in self.prefixes.holders(self.request.prefix) {
+            let is_candidate = self.pool.holds(*key) && !best.was_compared(*key);
+            if is_candidate && self.is_path_open(*key) && self.is_usable(*key) {
+                best.consider(*key, self.score(*key));
             }
         }
     }
 
-    fn add_remote(&self, rng: &mut fastrand::Rng, best: &mut Best) {
+    fn add_remote(&self, rng: &mut fastrand::Rng, best: &mut BestServer) {
         for region in &self.pool.remote {
             let Some(key) = rng.choice(region.servers.iter().copied()) else {
                 continue;
             };
-            let may = !best.seen(key) && self.crosses(key);
-            if may && self.takes(key, rng) {
-                best.offer(key, self.score(key));
+            let is_candidate = !best.was_compared(key) && self.is_path_open(key);
+            if is_candidate && self.accepts(key, rng) {
+                best.consider(key, self.score(key));
             }
         }
     }
 
-    /// Any usable server of the subsets, budgets or not; those of regions that can be reached first.
-    fn any(&self, rng: &mut fastrand::Rng) -> Option<ServerKey> {
+    /// Picks any usable server of the subsets regardless of link budgets, reachable regions first.
+    fn any_usable(&self, rng: &mut fastrand::Rng) -> Option<ServerKey> {
         let remote = self.pool.remote.iter().map(|r| &r.servers);
         let lists: Vec<&Vec<ServerKey>> = std::iter::once(&self.pool.local).chain(remote).collect();
-        for lost in [false, true] {
+        for unreachable in [false, true] {
             for list in &lists {
                 let servers = list.iter().copied();
-                let reached = servers.filter(|key| self.region_lost(*key) == lost);
-                let usable = reached.filter(|key| self.is_usable(*key));
+                let candidates =
+                    servers.filter(|key| self.is_region_unreachable(*key) == unreachable);
+                let usable = candidates.filter(|key| self.is_usable(*key));
                 let key = rng.choice(usable.collect::<Vec<_>>());
                 if key.is_some() {
                     return key;
@@ -153,79 +162,79 @@
         None
     }
 
-    /// Whether the way there is free: the own region, or a link with bytes left to a region that can
-    /// be reached.
-    fn crosses(&self, key: ServerKey) -> bool {
+    /// Whether traffic to the server is allowed: its region is reachable, and it is the local region or
+    /// its link has byte budget left.
+    fn is_path_open(&self, key: ServerKey) -> bool {
         let view = &self.servers[key].view;
-        if self.region_lost(key) {
+        if self.is_region_unreachable(key) {
             return false;
         }
         self.cost.is_local(view) || self.cost.has_budget(self.now, &view.region)
     }
 
-    /// Whether the region could not be reached lately, by others or by this request, which has tried
-    /// two of its servers in vain: its last try goes elsewhere.
-    fn region_lost(&self, key: ServerKey) -> bool {
+    /// Whether the server's region was recently unreachable, for other requests or for this one, which
+    /// failed to reach two of its servers and makes its last attempt in another region.
+    fn is_region_unreachable(&self, key: ServerKey) -> bool {
         let region = &self.servers[key].view.region;
         if self.reach.avoids_region(self.now, region) {
             return true;
         }
-        let tried = self.ask.tried.iter().filter(|key| {
+        let lost = self.request.tried.iter().filter(|key| {
             let server = self.servers.get(**key);
             server.is_some_and(|s| s.view.region == *region) && self.reach.is_lost(**key)
         });
-        tried.count() >= LOST_TRIES
+        lost.count() >= MAX_LOST_ATTEMPTS
     }
 
-    /// Whether the server is usable, and, while it starts slowly, takes this one.
-    fn takes(&self, key: ServerKey, rng: &mut fastrand::Rng) -> bool {
+    /// Whether the server is usable and, during its slow start, is drawn for this request.
+    fn accepts(&self, key: ServerKey, rng: &mut fastrand::Rng) -> bool {
         if !self.is_usable(key) {
             return false;
         }
-        let part = self.service.ejector.part(self.now, key);
-        part >= 1.0 || rng.f64() < part
+        let share = self.service.ejector.part(self.now, key);
+        share >= 1.0 || rng.f64() < share
     }
 
     fn is_usable(&self, key: ServerKey) -> bool {
-        self.standing(key) == Standing::Usable
+        self.eligibility(key) == Eligibility::Usable
     }
 
-    fn standing(&self, key: ServerKey) -> Standing {
+    fn eligibility(&self, key: ServerKey) -> Eligibility {
         let server = &self.servers[key];
         if !server.is_ready() {
-            return Standing::Draining;
+            return Eligibility::Draining;
         }
-        if self.ask.tried.contains(&key) {
-            return Standing::Tried;
+        if self.request.tried.contains(&key) {
+            return Eligibility::Tried;
         }
         if self.service.ejector.is_ejected(key) {
-            return Standing::Ejected;
+            return Eligibility::Ejected;
         }
-        if server.load.says_unreachable(self.now) || self.reach.avoids(self.now, key) {
-            return Standing::Unreachable;
+        if server.load.reports_unreachable(self.now) || self.reach.avoids(self.now, key) {
+            return Eligibility::Unreachable;
         }
-        Standing::Usable
+        Eligibility::Usable
     }
 
     fn score(&self, key: ServerKey) -> u64 {
         self.parts(key).score()
     }
 
-    fn parts(&self, key: ServerKey) -> Parts {
+    fn parts(&self, key: ServerKey) -> ScoreParts {
         let server = &self.servers[key];
-        let ask = self.ask;
-        let tokens = ask.expected_tokens;
+        let request = self.request;
+        let tokens = request.expected_tokens;
         let estimate = server.load.estimate(self.now, tokens, &self.service.mean);
-        let worth = micros(self.settings.prefix_worth);
-        let held = ask.prefix != 0 && self.prefixes.holds(self.now, key, ask.prefix);
-        let here = estimate.wait + estimate.crowding;
-        let distance = self.cost.distance(&server.view, here);
-        Parts {
+        let max_saving = micros(self.settings.prefix_saving);
+        let has_prefix = request.prefix != 0 && self.prefixes.holds(self.now, key, request.prefix);
+        let server_delay = estimate.wait + estimate.contention;
+        let network_cost = self.cost.distance(&server.view, server_delay);
+        ScoreParts {
             wait: estimate.wait as u64,
-            crowding: estimate.crowding as u64,
-            distance: distance as u64,
-            saved: if held { worth } else { 0 },
-            worth,
+            contention: estimate.contention as u64,
+            network_cost: network_cost as u64,
+            prefix_saving: if has_prefix { max_saving } else { 0 },
+            max_saving,
         }
     }
 
@@ -236,41 +245,41 @@
             name: view.name.clone(),
             region: view.region.clone(),
             zone: view.zone.clone(),
-            standing: self.whole_standing(key),
+            eligibility: self.full_eligibility(key),
             wait: parts.wait,
-            crowding: parts.crowding,
-            distance: parts.distance,
-            saved: parts.saved,
+            contention: parts.contention,
+            network_cost: parts.network_cost,
+            prefix_saving: parts.prefix_saving,
             score: parts.score(),
         }
     }
 
-    /// The standing with subset, region and link taken in.
-    fn whole_standing(&self, key: ServerKey) -> Standing {
-        match self.standing(key) {
-            Standing::Usable if !self.pool.holds(key) => Standing::OutsideSubset,
-            Standing::Usable if self.region_lost(key) => Standing::Unreachable,
-            Standing::Usable if !self.crosses(key) => Standing::OverBudget,
-            standing => standing,
+    /// Like `eligibility`, but also considers the subset, the region and the link budget.
+    fn full_eligibility(&self, key: ServerKey) -> Eligibility {
+        match self.eligibility(key) {
+            Eligibility::Usable if !self.pool.holds(key) => Eligibility::OutsideSubset,
+            Eligibility::Usable if self.is_region_unreachable(key) => Eligibility::Unreachable,
+            Eligibility::Usable if !self.is_path_open(key) => Eligibility::OverBudget,
+            eligibility => eligibility,
         }
     }
 
-    /// The refusal where no server can be given the request. Takes O(n); not on the usual path.
-    fn no_server(&self) -> NotRun {
+    /// Returns the refusal for the case that no server is usable. O(n), but not on the common path.
+    fn no_server_refusal(&self) -> NotRun {
         let mut members = self.pool.members().peekable();
-        let empty = members.peek().is_none();
-        let leaving = !empty && !members.any(|key| self.servers[key].is_ready());
-        let reason = if leaving {
+        let is_empty = members.peek().is_none();
+        let all_draining = !is_empty && !members.any(|key| self.servers[key].is_ready());
+        let reason = if all_draining {
             RefusalReason::Draining
         } else {
             RefusalReason::NoBackend
         };
-        NotRun::before_dispatch(reason, Some(RECOVERY))
+        NotRun::before_dispatch(reason, Some(RECOVERY_TIME))
     }
 }
 
-impl Best {
-    fn offer(&mut self, server: ServerKey, score: u64) {
+impl BestServer {
+    fn consider(&mut self, server: ServerKey, score: u64) {
         self.compared.push(server);
         if self.server.is_none() || score < self.score {
             self.server = Some(server);
@@ -278,16 +287,17 @@
         }
     }
 
-    fn seen(&self, server: ServerKey) -> bool {
+    fn was_compared(&self, server: ServerKey) -> bool {
         self.compared.contains(&server)
     }
 }
 
-impl Parts {
-    /// Never below zero: what is not saved counts as cost.
+impl ScoreParts {
+    /// Returns the total cost. A saving that is not realized counts as cost, so that the score cannot
+    /// be negative.
     fn score(&self) -> u64 {
-        let cost = self.wait.saturating_add(self.crowding);
-        cost.saturating_add(self.distance) + self.worth.saturating_sub(self.saved)
+        let cost = self.wait.saturating_add(self.contention);
+        cost.saturating_add(self.network_cost) + self.max_saving.saturating_sub(self.prefix_saving)
     }
 }
 
--- a/lib/src/route_table.rs
+++ b/lib/src/route_table.rs
@@ -1,7 +1,7 @@
-//! Which route a request takes, and who its caller is.
+//! Maps a request to its route by host and path, and to its workspace by key.
 //!
-//! Made once for each version of the configuration, and then only read: a request takes one look-up by
-//! host, one by prefix for each length that the host has, and one by key.
+//! Built once for each version of the configuration and then read-only. A request takes one lookup
+//! by host, a scan of the host's path prefixes, and one lookup by key.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,52 +21,52 @@
 #[derive(Debug, Default)]
 pub struct RouteTable {
     config: Arc<SiteConfig>,
-    // Places in the configuration's routes by host, the longest prefix first.
+    // Indices into the configuration's routes by host, longest prefix first.
     hosts: HashMap<Name, Vec<usize>>,
-    // Places in the configuration's workspaces by key.
+    // Indices into the configuration's workspaces by key.
     keys: HashMap<Name, usize>,
 }
 
-/// Why a request is not allowed.
+/// Why a request is denied.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denied {
-    /// No route leads anywhere.
+    /// No route matches.
     NoRoute,
     /// The key is missing or unknown.
     BadKey,
 }
 
-/// A request's way through the configuration.
+/// The route and workspace of an admitted request.
 #[derive(Clone, Debug)]
 pub struct Admitted {
     /// The route.
     pub route: Route,
     /// The workspace; `None` on an anonymous route or where the configuration has no workspaces.
     pub workspace: Option<Name>,
-    /// The rank: 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u32,
-    /// Where it may be served, by its route and its workspace.
+    /// The regions that both its route and its workspace allow.
     pub regions: AllowedRegions,
-    /// The version of the configuration.
+    /// The version of the configuration that it was admitted under.
     pub version: u64,
 }
 
 impl RouteTable {
-    /// The table of a configuration.
+    /// Builds the table of a configuration.
     pub fn new(config: Arc<SiteConfig>) -> Self {
         let mut hosts: HashMap<Name, Vec<usize>> = HashMap::new();
-        for (place, route) in config.routes.iter().enumerate() {
-            hosts.entry(route.host.clone()).or_default().push(place);
+        for (index, route) in config.routes.iter().enumerate() {
+            hosts.entry(route.host.clone()).or_default().push(index);
         }
-        for places in hosts.values_mut() {
-            places.sort_by_key(|place| {
-                std::cmp::Reverse(config.routes[*place].prefix.as_str().len())
+        for indices in hosts.values_mut() {
+            indices.sort_by_key(|index| {
+                std::cmp::Reverse(config.routes[*index].prefix.as_str().len())
             });
         }
         let mut keys = HashMap::new();
-        for (place, workspace) in config.workspaces.iter().enumerate() {
+        for (index, workspace) in config.workspaces.iter().enumerate() {
             for key in &workspace.keys {
-                keys.insert(key.clone(), place);
+                keys.insert(key.clone(), index);
             }
         }
         RouteTable {
@@ -76,38 +76,38 @@
         }
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     pub fn config(&self) -> &Arc<SiteConfig> {
         &self.config
     }
 
-    /// Whether any configuration is known.
+    /// Whether a configuration has been loaded.
     pub fn is_known(&self) -> bool {
         self.config.version > 0
     }
 
-    /// The service's figures.
+    /// Returns the service's settings.
     pub fn service(&self, name: &Name) -> Option<&ServiceSpec> {
         self.config.services.get(name)
     }
 
-    /// The services by name.
+    /// Returns the services by name.
     pub fn services(&self) -> &BTreeMap<Name, ServiceSpec> {
         &self.config.services
     }
 
-    /// How many kinds of streams of the service are more urgent than those of the route. Kinds are told by
-    /// the routes' priorities.
+    /// Counts the distinct priorities that are more urgent than the route's, among all streaming
+    /// routes to the service.
     pub fn more_urgent(&self, service: &Name, route: &Route) -> u32 {
         let streams = self.config.routes.iter().filter(|other| {
-            let served = other.shares.iter().any(|share| &share.service == service);
-            served && other.kind == CallKind::Streaming && other.priority < route.priority
+            let uses_service = other.shares.iter().any(|share| &share.service == service);
+            uses_service && other.kind == CallKind::Streaming && other.priority < route.priority
         });
-        let kinds: BTreeSet<u32> = streams.map(|other| other.priority).collect();
-        kinds.len() as u32
+        let priorities: BTreeSet<u32> = streams.map(|other| other.priority).collect();
+        priorities.len() as u32
     }
 
-    /// Finds the way of a request. `host` may carry a port; `path` has no query.
+    /// Finds the route and workspace of a request. `host` may include a port; `path` has no query.
     pub fn admit(&self, host: &str, path: &str, key: Option<&str>) -> Result<Admitted, Denied> {
         let route = self.route(host, path).ok_or(Denied::NoRoute)?;
         let workspace = self.workspace(route, key)?;
@@ -121,8 +121,9 @@
         })
     }
 
-    /// Where a request that was admitted earlier may be served now. A restriction that has come since binds it too;
-    /// one that has gone still does, since the request was admitted under it.
+    /// Returns the regions that may serve an earlier admitted request now. Restrictions added since
+    /// then apply to it, and so do restrictions removed since then, because it was admitted under
+    /// them.
     pub fn regions_now(&self, admitted: &Admitted) -> AllowedRegions {
         if admitted.version == self.config.version {
             return admitted.regions.clone();
@@ -141,8 +142,8 @@
     fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let host = host.to_ascii_lowercase();
-        let places = self.hosts.get(host.as_str())?;
-        let routes = places.iter().map(|place| &self.config.routes[*place]);
+        let indices = self.hosts.get(host.as_str())?;
+        let routes = indices.iter().map(|index| &self.config.routes[*index]);
         routes
             .into_iter()
             .find(|r| path.starts_with(r.prefix.as_str()))
@@ -156,9 +157,9 @@
         if self.config.workspaces.is_empty() {
             return Ok(None);
         }
-        let place = key.and_then(|key| self.keys.get(key));
-        match place {
-            Some(place) => Ok(Some(&self.config.workspaces[*place])),
+        let index = key.and_then(|key| self.keys.get(key));
+        match index {
+            Some(index) => Ok(Some(&self.config.workspaces[*index])),
             None if route.anonymous => Ok(None),
             None => Err(Denied::BadKey),
         }
@@ -172,21 +173,21 @@
     }
 }
 
-/// The service of a request among a route's shares. `draw` lies from 0 up to 1.
+/// Picks one of a route's services by weight. `draw` is a uniform random number in `[0, 1)`.
 pub fn share_of(route: &Route, draw: f64) -> Option<&Name> {
     let total: u64 = route.shares.iter().map(|s| u64::from(s.weight)).sum();
-    let mut left = (draw * total as f64) as u64;
+    let mut remaining = (draw * total as f64) as u64;
     for share in &route.shares {
         let weight = u64::from(share.weight);
-        if left < weight {
+        if remaining < weight {
             return Some(&share.service);
         }
-        left -= weight;
+        remaining -= weight;
     }
     route.shares.last().map(|s| &s.service)
 }
 
-/// The time that a request has: what its caller waits, but no longer than its route allows.
+/// Returns the timeout of a request: the caller's deadline, limited by the route's timeout.
 pub fn time_limit(route: &Route, deadline: Option<Duration>) -> Duration {
     deadline.map_or(route.timeout, |d| d.min(route.timeout))
 }
--- a/lib/src/router.rs
+++ b/lib/src/router.rs
@@ -1,12 +1,14 @@
-//! Where an entry sends a request: the one module of routing that the daemon talks to.
+//! Selects the server that an entry sends a request to. The only routing module that the daemon uses.
 //!
-//! Load pattern: hundreds of entries, each with a late and partial view, before servers whose requests
-//! differ a thousandfold in length. Without it the entries meet at the same servers, cross regions for
-//! nothing, go on sending to what is slow or lost, and multiply every failure by their retries.
+//! Load pattern: hundreds of entries, each with a delayed and partial view, in front of servers whose
+//! requests differ in length by a factor of a thousand. Without this router, entries send to the same
+//! servers at the same time, cross regions without need, keep sending to slow or lost servers, and
+//! multiply every failure by their retries.
 //!
-//! A choice samples a few servers of a bounded subset, adds those that hold the prompt's prefix and
-//! one server of each other region, and takes the least sum of wait, crowding and distance, less the
-//! time that a cached prefix saves. Its cost does not grow with the number of servers.
+//! The router samples a few servers of a bounded subset, adds those that hold the prompt's prefix and
+//! one server of each other region, and takes the one with the lowest sum of wait, contention and
+//! network cost, less the time saved by a cached prefix. The cost of a selection does not depend on the
+//! number of servers.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -15,7 +17,7 @@
 use slotmap::SlotMap;
 
 use crate::backend::CacheEvent;
-use crate::choice::Choice;
+use crate::choice::ServerSelector;
 use crate::ids::Name;
 use crate::load::LoadSummary;
 use crate::outcome::NotRun;
@@ -38,18 +40,18 @@
 use crate::time::Time;
 use crate::zone_cost::ZoneCost;
 
-/// The fewest tokens whose time tells a server's pace: with fewer, the wait before the first one is
-/// most of it.
-const PACE_TOKENS: u32 = 8;
+/// Minimum number of tokens for a measurement of the time per token: with fewer, the wait before the
+/// first token dominates.
+const MIN_TIMED_TOKENS: u32 = 8;
 
-/// Chooses servers for one entry.
+/// Selects servers for the requests of one entry.
 #[derive(Debug)]
 pub struct Router {
     settings: RouterSettings,
-    rule: SubsetRule,
+    subset_rule: SubsetRule,
     servers: SlotMap<ServerKey, Server>,
     // Listed servers only.
-    names: HashMap<Name, ServerKey>,
+    keys: HashMap<Name, ServerKey>,
     services: HashMap<Name, ServiceState>,
     cost: ZoneCost,
     reach: Reach,
@@ -58,12 +60,12 @@
 }
 
 impl Router {
-    /// A router that knows no server yet.
+    /// Creates a router without servers.
     pub fn new(settings: RouterSettings) -> Self {
-        let rule = SubsetRule {
+        let subset_rule = SubsetRule {
             entry: hash_name(&settings.entry),
             region: settings.region.clone(),
-            local: settings.subset,
+            local: settings.local_subset,
             remote: settings.remote_subset,
         };
         let cost = ZoneCost::new(
@@ -72,9 +74,9 @@
             settings.zone.clone(),
         );
         Router {
-            rule,
+            subset_rule,
             servers: SlotMap::with_key(),
-            names: HashMap::new(),
+            keys: HashMap::new(),
             services: HashMap::new(),
             cost,
             reach: Reach::default(),
@@ -84,20 +86,20 @@
         }
     }
 
-    /// Takes in the whole membership. Servers that are not in it are gone.
+    /// Replaces the list of servers. Servers that are not in it have left.
     pub fn set_servers(&mut self, now: Time, servers: &[ServerView]) {
         let mut changed = HashSet::new();
-        let running: HashSet<Name> = self.services.keys().cloned().collect();
+        let existing: HashSet<Name> = self.services.keys().cloned().collect();
         for view in servers {
-            let slowly = running.contains(&view.service);
-            if self.set_server(now, view, slowly) {
+            let slow_start = existing.contains(&view.service);
+            if self.set_server(now, view, slow_start) {
                 changed.insert(view.service.clone());
             }
         }
         let listed: HashSet<&Name> = servers.iter().map(|view| &view.name).collect();
-        let left = self.names.keys().filter(|name| !listed.contains(name));
-        let left: Vec<Name> = left.cloned().collect();
-        for name in left {
+        let removed = self.keys.keys().filter(|name| !listed.contains(name));
+        let removed: Vec<Name> = removed.cloned().collect();
+        for name in removed {
             if let Some(service) = self.unlist(&name) {
                 changed.insert(service);
             }
@@ -107,9 +109,9 @@
         }
     }
 
-    /// Takes in a change of one server's state. An unknown name is passed over.
+    /// Changes the state of one server. An unknown name is ignored.
     pub fn set_state(&mut self, now: Time, name: &Name, state: ServerState) {
-        let Some(key) = self.names.get(name).copied() else {
+        let Some(key) = self.keys.get(name).copied() else {
             return;
         };
         let view = &mut self.servers[key].view;
@@ -124,18 +126,18 @@
         self.rebuild(now, &service);
     }
 
-    /// Takes in a report of a server's load.
+    /// Records a server's load report.
     pub fn report(&mut self, now: Time, server: ServerKey, load: LoadSummary) {
         let Some(known) = self.servers.get_mut(server) else {
             return;
         };
         let was_ready = known.is_ready();
-        let news = known.load.report(now, load.clone());
+        let is_new = known.load.report(now, load.clone());
         let changed = known.is_ready() != was_ready;
         let service = known.view.service.clone();
         if let Some(state) = self.services.get_mut(&service) {
             state.mean.report(&load);
-            if news && load.running > 0 {
+            if is_new && load.running > 0 {
                 let gap = Duration::from_micros(load.token_gap);
                 state.ejector.reported(now, server, gap);
             }
@@ -145,36 +147,36 @@
         }
     }
 
-    /// Takes in an event of a server's prefix cache.
+    /// Records an event of a server's prefix cache.
     pub fn cache_event(&mut self, now: Time, server: ServerKey, event: &CacheEvent) {
         if self.servers.contains_key(server) {
             self.prefixes.event(now, server, event);
         }
     }
 
-    /// Chooses a server for a new try of a request.
+    /// Selects a server for the next attempt of a request.
     ///
     /// # Errors
     ///
-    /// [`NotRun`] with the reason: the service or model is not in place, or no server of it that has
-    /// not been tried can be given work.
+    /// [`NotRun`] with the reason: the service is unknown, no server has the model, or no server that
+    /// has not been tried yet is usable.
     pub fn choose(
         &mut self,
         now: Time,
-        ask: &RouteRequest<'_>,
+        request: &RouteRequest<'_>,
         rng: &mut fastrand::Rng,
     ) -> Result<ServerKey, NotRun> {
-        self.sweep(now, ask.service);
-        let order = self.order(ask);
-        let choice = self.choice(now, ask)?;
-        match choice.first(&order) {
+        self.sweep(now, request.service);
+        let order = self.order(request);
+        let selector = self.selector(now, request)?;
+        match selector.first_usable(&order) {
             Some(server) => Ok(server),
-            None => choice.best(rng),
+            None => selector.select(rng),
         }
     }
 
-    /// The request was handed to the server.
-    pub fn started(&mut self, now: Time, server: ServerKey, ask: &RouteRequest<'_>) {
+    /// Records that the request was sent to the server.
+    pub fn started(&mut self, now: Time, server: ServerKey, request: &RouteRequest<'_>) {
         let Some(known) = self.servers.get_mut(server) else {
             return;
         };
@@ -183,17 +185,17 @@
         self.reach.started(now, server, &view.region);
         if !self.cost.is_local(view) {
             let region = view.region.clone();
-            self.cost.started(now, &region, ask.expected_tokens);
+            self.cost.started(now, &region, request.expected_tokens);
         }
-        self.prefixes.sent(now, server, ask.prefix);
-        if ask.tried.is_empty()
-            && let Some(service) = self.services.get_mut(ask.service)
+        self.prefixes.sent(now, server, request.prefix);
+        if request.tried.is_empty()
+            && let Some(service) = self.services.get_mut(request.service)
         {
             service.retries.first_attempt(now);
         }
     }
 
-    /// The first token, or the head of a plain answer, came `waited` after the hand-over.
+    /// Records that the first token, or the head of a plain answer, arrived `waited` after dispatch.
     pub fn first_token(&mut self, now: Time, server: ServerKey, waited: Duration) {
         let Some(known) = self.servers.get_mut(server) else {
             return;
@@ -203,7 +205,7 @@
         self.reach.answered(server, &known.view.region);
     }
 
-    /// The request is over at the server.
+    /// Records the end of an attempt at the server.
     pub fn finished(&mut self, now: Time, server: ServerKey, end: &AttemptEnd) {
         let Some(known) = self.servers.get_mut(server) else {
             return;
@@ -222,14 +224,14 @@
         }
         if let Some(service) = self.services.get_mut(&known.view.service) {
             service.mean.ended(end.duration);
-            judge(service, now, server, end);
+            record_end(service, now, server, end);
         }
         if !known.listed && known.load.in_flight() == 0 {
             self.servers.remove(server);
         }
     }
 
-    /// The pause before a retry for this service, or `None` if its budget allows none.
+    /// Returns the pause before a retry for this service, or `None` if its budget is used up.
     pub fn may_retry(
         &mut self,
         now: Time,
@@ -240,37 +242,37 @@
         service.retries.take(now, reason, &mut self.rng)
     }
 
-    /// The name of a server.
+    /// Returns the name of a server.
     pub fn name(&self, server: ServerKey) -> Option<&Name> {
         self.servers.get(server).map(|s| &s.view.name)
     }
 
-    /// The key of a listed server.
+    /// Returns the key of a listed server.
     pub fn key(&self, name: &Name) -> Option<ServerKey> {
-        self.names.get(name).copied()
+        self.keys.get(name).copied()
     }
 
-    /// Requests that this entry has in flight at a server.
+    /// Returns the number of requests that this entry has in flight at a server.
     pub fn in_flight(&self, server: ServerKey) -> u32 {
         self.servers.get(server).map_or(0, |s| s.load.in_flight())
     }
 
-    /// Servers of a service that are ejected.
+    /// Returns the number of ejected servers of a service.
     pub fn ejected(&self, service: &Name) -> usize {
         let service = self.services.get(service);
         service.map_or(0, |s| s.ejector.ejected())
     }
 
-    /// Every member for the request's model, best first. Takes O(n log n); for operators.
-    pub fn explain(&self, now: Time, ask: &RouteRequest<'_>) -> Vec<Candidate> {
-        match self.choice(now, ask) {
-            Ok(choice) => choice.candidates(),
+    /// Returns every server for the request's model, best first. O(n log n); for diagnostics only.
+    pub fn explain(&self, now: Time, request: &RouteRequest<'_>) -> Vec<Candidate> {
+        match self.selector(now, request) {
+            Ok(selector) => selector.candidates(),
             Err(_) => Vec::new(),
         }
     }
 
-    fn set_server(&mut self, now: Time, view: &ServerView, slowly: bool) -> bool {
-        if let Some(key) = self.names.get(&view.name) {
+    fn set_server(&mut self, now: Time, view: &ServerView, slow_start: bool) -> bool {
+        if let Some(key) = self.keys.get(&view.name) {
             let known = &mut self.servers[*key].view;
             if known == view {
                 return false;
@@ -279,23 +281,23 @@
                 *known = view.clone();
                 return true;
             }
-            // The name moved to another service: to this one it is a new server.
+            // The server moved to another service, for which it is a new server.
             if let Some(service) = self.unlist(&view.name) {
                 self.rebuild(now, &service);
             }
         }
         let key = self.servers.insert(Server::new(view.clone()));
-        self.names.insert(view.name.clone(), key);
+        self.keys.insert(view.name.clone(), key);
         let service = self.services.entry(view.service.clone());
         let service = service.or_insert_with(|| ServiceState::new(&self.settings, now));
         service.members.push(key);
-        service.ejector.joined(now, key, slowly);
+        service.ejector.joined(now, key, slow_start);
         true
     }
 
-    /// Takes a server out of the view; the service that it was of.
+    /// Removes a server from the list and returns the service that it belonged to.
     fn unlist(&mut self, name: &Name) -> Option<Name> {
-        let key = self.names.remove(name)?;
+        let key = self.keys.remove(name)?;
         self.prefixes.left(key);
         self.reach.left(key);
         let known = &mut self.servers[key];
@@ -314,7 +316,7 @@
 
     fn rebuild(&mut self, now: Time, service: &Name) {
         if let Some(state) = self.services.get_mut(service) {
-            state.rebuild(now, &self.rule, &self.servers);
+            state.rebuild(now, &self.subset_rule, &self.servers);
         }
     }
 
@@ -324,24 +326,28 @@
         }
     }
 
-    /// The order of servers for a keyed call; empty for any other.
-    fn order(&mut self, ask: &RouteRequest<'_>) -> Vec<ServerKey> {
-        let Some(affinity) = ask.affinity else {
+    /// Returns the rendezvous order of servers for a keyed call; empty for any other request.
+    fn order(&mut self, request: &RouteRequest<'_>) -> Vec<ServerKey> {
+        let Some(affinity) = request.affinity else {
             return Vec::new();
         };
-        let service = self.services.get_mut(ask.service);
-        let pool = service.and_then(|s| s.pools.get_mut(ask.model));
+        let service = self.services.get_mut(request.service);
+        let pool = service.and_then(|s| s.pools.get_mut(request.model));
         pool.map_or_else(Vec::new, |pool| pool.order(affinity).to_vec())
     }
 
-    fn choice<'a>(&'a self, now: Time, ask: &'a RouteRequest<'a>) -> Result<Choice<'a>, NotRun> {
-        let service = self.services.get(ask.service);
-        let service = service.ok_or_else(|| refuse(RefusalReason::ServiceUnknown))?;
-        let pool = service.pools.get(ask.model);
-        let pool = pool.ok_or_else(|| refuse(RefusalReason::NotPlaced))?;
-        Ok(Choice {
+    fn selector<'a>(
+        &'a self,
+        now: Time,
+        request: &'a RouteRequest<'a>,
+    ) -> Result<ServerSelector<'a>, NotRun> {
+        let service = self.services.get(request.service);
+        let service = service.ok_or_else(|| refusal(RefusalReason::ServiceUnknown))?;
+        let pool = service.pools.get(request.model);
+        let pool = pool.ok_or_else(|| refusal(RefusalReason::NotPlaced))?;
+        Ok(ServerSelector {
             now,
-            ask,
+            request,
             settings: &self.settings,
             servers: &self.servers,
             service,
@@ -353,19 +359,19 @@
     }
 }
 
-fn judge(service: &mut ServiceState, now: Time, server: ServerKey, end: &AttemptEnd) {
-    let pace = match end.tokens {
+fn record_end(service: &mut ServiceState, now: Time, server: ServerKey, end: &AttemptEnd) {
+    let sample = match end.tokens {
         0 => Some(end.duration),
-        tokens if tokens < PACE_TOKENS => None,
+        tokens if tokens < MIN_TIMED_TOKENS => None,
         tokens => Some(end.duration / tokens),
     };
-    match (end.result, pace) {
-        (AttemptResult::Ok, Some(pace)) => service.ejector.ended(now, server, pace),
+    match (end.result, sample) {
+        (AttemptResult::Ok, Some(sample)) => service.ejector.ended(now, server, sample),
         (AttemptResult::Failed | AttemptResult::Lost, _) => service.ejector.failed(now, server),
         _ => {}
     }
 }
 
-fn refuse(reason: RefusalReason) -> NotRun {
+fn refusal(reason: RefusalReason) -> NotRun {
     NotRun::before_dispatch(reason, None)
 }
--- a/lib/src/routing.rs
+++ b/lib/src/routing.rs
@@ -1,4 +1,4 @@
-//! The words in which routing is asked and answered: servers, requests, ends, settings.
+//! Types of the router's interface: servers, requests, the ends of attempts, and settings.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::zone_cost::CostSettings;
 
 slotmap::new_key_type! {
-    /// A server behind one router. Stable while the server is a member.
+    /// Identifies a server within one router. Stable while the server is listed.
     pub struct ServerKey;
 }
 
@@ -17,80 +17,80 @@
     /// Whether a server may be given new work.
     #[derive(Copy)]
     pub enum ServerState {
-        /// It takes new work.
+        /// It accepts new work.
         Ready,
-        /// It ends what it has, and takes no new work.
+        /// It finishes its current work and accepts no new work.
         Draining,
-        /// It is no longer there.
+        /// It has left.
         Gone,
     }
 
-    /// A server as the membership view has it.
+    /// A server as listed in the membership view.
     pub struct ServerView {
         /// The server's name, unique among all services.
         pub name: Name,
-        /// The service that it is part of.
+        /// The service that it belongs to.
         pub service: Name,
         /// Its region.
         pub region: Name,
         /// Its availability zone.
         pub zone: Name,
-        /// The models and adapters in place; empty for a plain service.
+        /// The models and adapters loaded on it; empty for a plain service.
         pub models: Vec<Name>,
-        /// Whether it takes new work.
+        /// Whether it accepts new work.
         pub state: ServerState,
     }
 
-    /// How a request that was handed to a server ended.
+    /// How an attempt at a server ended.
     #[derive(Copy)]
     pub enum AttemptResult {
-        /// It ran to its end.
+        /// It completed.
         Ok,
-        /// The server refused it before it ran.
+        /// The server rejected it before running it.
         Refused,
-        /// It ran and failed, by the server's own word.
+        /// It ran, and the server reported a failure.
         Failed,
-        /// The server could not be reached, or was lost with the request on it.
+        /// The server could not be reached, or was lost while running the request.
         Lost,
-        /// The caller went away. Says nothing of the server.
+        /// The caller disconnected. Says nothing about the server.
         Cancelled,
     }
 
-    /// What is known at the end of a request that was handed to a server.
+    /// The end of an attempt at a server.
     #[derive(Copy)]
     pub struct AttemptEnd {
-        /// How it ended.
+        /// The result.
         pub result: AttemptResult,
-        /// From the hand-over to the end.
+        /// The time from dispatch to the end.
         pub duration: Duration,
-        /// Tokens delivered; zero for a plain call.
+        /// The number of tokens delivered; zero for a plain call.
         pub tokens: u32,
-        /// Bytes carried both ways.
+        /// The number of bytes transferred in both directions.
         pub bytes: u64,
-        /// Whether [`Router::first_token`](crate::router::Router::first_token) was told of it.
+        /// Whether [`Router::first_token`](crate::router::Router::first_token) was called for it.
         pub first_token: bool,
     }
 
-    /// Why a server is or is not a candidate.
+    /// Whether a server may be chosen for a request, and if not, why.
     #[derive(Copy)]
-    pub enum Standing {
+    pub enum Eligibility {
         /// It may be chosen.
         Usable,
-        /// It takes no new work.
+        /// It accepts no new work.
         Draining,
-        /// It is far slower than its peers, or fails more often.
+        /// It is ejected as an outlier: far slower than its peers, or failing more often.
         Ejected,
-        /// Lately it could not be reached.
+        /// It, or its region, was recently unreachable.
         Unreachable,
-        /// The request has been there already.
+        /// An earlier attempt of the request went to it.
         Tried,
-        /// The link to its region has used up its byte budget.
+        /// The byte budget of the link to its region is used up.
         OverBudget,
-        /// It is not in the subset that this entry sends to.
+        /// It is not in the subset of servers that this entry sends to.
         OutsideSubset,
     }
 
-    /// One server as weighed for a request. Times in microseconds.
+    /// The evaluation of one server for a request. Times are in microseconds.
     pub struct Candidate {
         /// The server's name.
         pub name: Name,
@@ -98,22 +98,22 @@
         pub region: Name,
         /// Its availability zone.
         pub zone: Name,
-        /// Whether it may be chosen.
-        pub standing: Standing,
-        /// The wait before a request starts there, as estimated.
+        /// Whether it may be chosen, and if not, why.
+        pub eligibility: Eligibility,
+        /// The estimated wait before a request starts.
         pub wait: u64,
-        /// The slowing by the requests that run there beside it.
-        pub crowding: u64,
-        /// The cost of the way there.
-        pub distance: u64,
-        /// The time saved by a prefix that the server holds.
-        pub saved: u64,
-        /// The sum by which servers are compared; less is better.
+        /// The estimated slowdown by other requests that run at the same time.
+        pub contention: u64,
+        /// The cost of the network path to its zone or region.
+        pub network_cost: u64,
+        /// The time saved by a prefix in the server's cache.
+        pub prefix_saving: u64,
+        /// The total cost by which servers are compared; lower is better.
         pub score: u64,
     }
 }
 
-/// A request that needs a server.
+/// A request to be routed to a server.
 #[derive(Clone, Debug)]
 pub struct RouteRequest<'a> {
     /// The service.
@@ -122,18 +122,18 @@
     pub model: &'a Name,
     /// The workspace.
     pub workspace: &'a Name,
-    /// The digest of the prompt's head; zero for none.
+    /// The digest of the prompt's prefix; zero if there is none.
     pub prefix: u64,
-    /// Tokens that the request is expected to hold at its end.
+    /// The number of tokens that the request is expected to hold at its end.
     pub expected_tokens: u32,
-    /// The hash of the key of a keyed call: one key keeps to one server while that lives.
+    /// The hash of a keyed call's key: calls with the same hash go to the same server while it is ready.
     pub affinity: Option<u64>,
-    /// The servers that the request has been to.
+    /// The servers of earlier attempts.
     pub tried: &'a [ServerKey],
 }
 
 impl AttemptEnd {
-    /// An end of the given kind, with no tokens and no bytes.
+    /// Creates an end with the given result, and with no tokens and no bytes.
     pub fn new(result: AttemptResult, duration: Duration) -> Self {
         AttemptEnd {
             result,
@@ -144,19 +144,19 @@
         }
     }
 
-    /// The same end with `tokens` delivered.
+    /// Sets the number of tokens delivered.
     pub fn with_tokens(mut self, tokens: u32) -> Self {
         self.tokens = tokens;
         self
     }
 
-    /// The same end with `bytes` carried.
+    /// Sets the number of bytes transferred.
     pub fn with_bytes(mut self, bytes: u64) -> Self {
         self.bytes = bytes;
         self
     }
 
-    /// The same end, of a request whose first token had come.
+    /// Marks the first token as received.
     pub fn with_first_token(mut self) -> Self {
         self.first_token = true;
         self
@@ -169,42 +169,45 @@
     pub(crate) entry: Name,
     pub(crate) region: Name,
     pub(crate) zone: Name,
-    pub(crate) subset: usize,
+    pub(crate) local_subset: usize,
     pub(crate) remote_subset: usize,
-    pub(crate) choices: usize,
-    pub(crate) prefix_worth: Duration,
+    pub(crate) sample_size: usize,
+    pub(crate) prefix_saving: Duration,
     pub(crate) seed: u64,
     pub(crate) cost: CostSettings,
     pub(crate) ejection: EjectionSettings,
     pub(crate) retry: RetrySettings,
 }
 
-/// Servers of the own region for each model that an entry sends to. At the target, 1,000 replicas of
-/// 23 models in 4 regions, a region has about 11 for a model, so that most subsets are whole; a model
-/// with 250 replicas in a region is spread over 92 entries, about 9 to a server.
-pub const SUBSET: usize = 24;
+/// Default number of local servers that an entry sends to for each model. At the target of 1,000
+/// replicas of 23 models in 4 regions, a region has about 11 replicas of a model, so most subsets
+/// contain all of them. A model with 250 replicas in a region is spread over 92 entries, with about 9
+/// entries for each server.
+pub const LOCAL_SUBSET: usize = 24;
 
-/// Servers of each other region that an entry may send to: enough to go on when some of them leave.
+/// Default number of servers in each other region that an entry may send to, sufficient if some of
+/// them leave.
 pub const REMOTE_SUBSET: usize = 6;
 
-/// Servers that are sampled for each choice. See docs/design/routing.md for the comparison.
-pub const CHOICES: usize = 3;
+/// Default number of local servers sampled for each request. See docs/design/routing.md for a comparison
+/// of values.
+pub const SAMPLE_SIZE: usize = 3;
 
-/// The time that a cached prefix saves, until the settings give a measured one: about the reading of
-/// 1,000 tokens.
-pub const PREFIX_WORTH: Duration = Duration::from_millis(80);
+/// Default time saved by a cached prefix, until the settings provide a measured one: about the prefill
+/// of 1,000 tokens.
+pub const PREFIX_SAVING: Duration = Duration::from_millis(80);
 
 impl RouterSettings {
-    /// The defaults, for the entry of the given name in the given region and availability zone.
+    /// Creates the default settings for an entry in the given region and availability zone.
     pub fn new(entry: Name, region: Name, zone: Name) -> Self {
         RouterSettings {
             entry,
             region,
             zone,
-            subset: SUBSET,
+            local_subset: LOCAL_SUBSET,
             remote_subset: REMOTE_SUBSET,
-            choices: CHOICES,
-            prefix_worth: PREFIX_WORTH,
+            sample_size: SAMPLE_SIZE,
+            prefix_saving: PREFIX_SAVING,
             seed: 0,
             cost: CostSettings::new(),
             ejection: EjectionSettings::new(),
@@ -212,49 +215,49 @@
         }
     }
 
-    /// Servers of the own region to send to, 1 to 1,000.
-    pub fn with_subset(mut self, servers: usize) -> Self {
-        self.subset = servers.clamp(1, 1_000);
+    /// Sets the number of local servers to send to for each model, clamped to 1 to 1,000.
+    pub fn with_local_subset(mut self, servers: usize) -> Self {
+        self.local_subset = servers.clamp(1, 1_000);
         self
     }
 
-    /// Servers of each other region to send to, 0 to 100.
+    /// Sets the number of servers of each other region to send to, at most 100.
     pub fn with_remote_subset(mut self, servers: usize) -> Self {
         self.remote_subset = servers.min(100);
         self
     }
 
-    /// Servers sampled for each choice, 1 to 64.
+    /// Sets the number of local servers sampled for each request, clamped to 1 to 64.
     pub fn with_sample_size(mut self, servers: usize) -> Self {
-        self.choices = servers.clamp(1, 64);
+        self.sample_size = servers.clamp(1, 64);
         self
     }
 
-    /// The time that a cached prefix saves.
-    pub fn with_prefix_worth(mut self, worth: Duration) -> Self {
-        self.prefix_worth = worth;
+    /// Sets the time saved by a cached prefix.
+    pub fn with_prefix_saving(mut self, saving: Duration) -> Self {
+        self.prefix_saving = saving;
         self
     }
 
-    /// The seed of the pauses before retries.
+    /// Sets the random seed for the pauses before retries.
     pub fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// The cost of the way to other zones and regions.
+    /// Sets the costs of traffic to other zones and regions.
     pub fn with_cost(mut self, cost: CostSettings) -> Self {
         self.cost = cost;
         self
     }
 
-    /// When a slow or failing server is left out.
+    /// Sets when a slow or failing server is ejected.
     pub fn with_ejection(mut self, ejection: EjectionSettings) -> Self {
         self.ejection = ejection;
         self
     }
 
-    /// The retry budget of each service.
+    /// Sets the retry budget of each service.
     pub fn with_retry(mut self, retry: RetrySettings) -> Self {
         self.retry = retry;
         self
--- a/lib/tests/route_table.rs
+++ b/lib/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! Routes, keys and shares of a configuration.
+//! Tests the lookup of routes and workspaces, and the weighted choice of a service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_longest_prefix_takes_the_request() {
+fn the_longest_matching_prefix_wins() {
     let table = table();
     for (path, name) in [
         ("/", "all"),
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_host_is_told_by_its_name_whatever_its_case_and_port() {
+fn host_matching_ignores_case_and_port() {
     let table = table();
     assert!(
         table
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_key_names_the_workspace_and_its_rank_goes_first() {
+fn a_key_selects_the_workspace_and_its_priority_overrides_the_route() {
     let table = table();
     let chapel = table.admit("rites.example", "/", Some("key-1")).unwrap();
     assert_eq!(
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn an_anonymous_route_needs_no_key_and_knows_one() {
+fn an_anonymous_route_needs_no_key_but_recognizes_one() {
     let table = table();
     let path = "/slots/open/1";
     assert_eq!(
@@ -129,19 +129,19 @@
 }
 
 #[test]
-fn shares_are_taken_by_weight() {
+fn services_are_picked_by_weight() {
     let mut split = route("split", "/", false);
     split.shares = vec![share("a", 90), share("none", 0), share("b", 10)];
-    let taken = |name: &str| {
+    let picked = |name: &str| {
         let draws = (0..1_000).map(|n| f64::from(n) / 1_000.0);
         let services = draws.filter_map(|draw| share_of(&split, draw));
         services.filter(|service| service.as_str() == name).count()
     };
-    assert_eq!((taken("a"), taken("none"), taken("b")), (900, 0, 100));
+    assert_eq!((picked("a"), picked("none"), picked("b")), (900, 0, 100));
 }
 
 #[test]
-fn the_shorter_of_deadline_and_route_limits_the_time() {
+fn the_time_limit_is_the_shorter_of_deadline_and_route_timeout() {
     let route = route("all", "/", false);
     let secs = Duration::from_secs;
     assert_eq!(time_limit(&route, Some(secs(1))), secs(1));
--- a/lib/tests/routing.rs
+++ b/lib/tests/routing.rs
@@ -10,12 +10,12 @@
 use cicada_lib::router::Router;
 use cicada_lib::routing::AttemptEnd;
 use cicada_lib::routing::AttemptResult;
+use cicada_lib::routing::Eligibility;
 use cicada_lib::routing::RouteRequest;
 use cicada_lib::routing::RouterSettings;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::routing::ServerState;
 use cicada_lib::routing::ServerView;
-use cicada_lib::routing::Standing;
 use cicada_lib::time::Time;
 use cicada_lib::zone_cost::CostSettings;
 use quickcheck::QuickCheck;
@@ -191,7 +191,7 @@
     router.started(Time::ZERO, far, &words.ask(&[]));
     assert_eq!(chosen(&mut router, Time::ZERO, &words, 1), "north-0");
     let over = router.explain(Time::ZERO, &words.ask(&[]));
-    assert_eq!(over[1].standing, Standing::OverBudget);
+    assert_eq!(over[1].eligibility, Eligibility::OverBudget);
     router.set_state(Time::ZERO, &Name::new("north-0"), ServerState::Gone);
     assert_eq!(chosen(&mut router, Time::ZERO, &words, 1), "south-0");
 }
