--- a/lib/benches/routing.rs
+++ b/lib/benches/routing.rs
@@ -1,4 +1,5 @@
-//! The cost of one choice at 10, 100 and 1,000 replicas of 23 models in four regions.
+//! Benchmarks the routing of one request with 10, 100 and 1,000 replicas of 23 models in four
+//! regions.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -57,8 +58,8 @@
     router
 }
 
-/// One request's whole share of routing: choice, start, first token, end.
-fn decisions(c: &mut Criterion) {
+/// Measures all router calls for one request: selection, start, first token and end.
+fn route_one_request(c: &mut Criterion) {
     let mut group = c.benchmark_group("routing");
     let service = Name::new("llm");
     let workspace = Name::new("alpha");
@@ -73,7 +74,7 @@
                     tick += 700;
                     let now = Time::from_micros(tick);
                     let model = model(0);
-                    let ask = RouteRequest {
+                    let request = RouteRequest {
                         service: &service,
                         model: &model,
                         workspace: &workspace,
@@ -82,9 +83,9 @@
                         affinity: None,
                         tried: &[],
                     };
-                    let chosen = router.choose(now, &ask, &mut rng);
+                    let chosen = router.choose(now, &request, &mut rng);
                     if let Ok(key) = black_box(chosen) {
-                        router.started(now, key, &ask);
+                        router.started(now, key, &request);
                         router.first_token(now, key, Duration::from_millis(100));
                         let end = AttemptEnd::new(AttemptResult::Ok, Duration::from_secs(10));
                         let end = end.with_first_token().with_tokens(250);
@@ -99,6 +100,6 @@
 
 fn main() {
     let mut criterion = Criterion::default().configure_from_args();
-    decisions(&mut criterion);
+    route_one_request(&mut criterion);
     criterion.final_summary();
 }
--- a/lib/src/choice.rs
+++ b/lib/src/choice.rs
@@ -23,13 +23,13 @@
 /// about this long.
 const RECOVERY_TIME: Duration = Duration::from_secs(2);
 
-/// Random draws for each server to sample. A draw may hit a server that was drawn before or cannot be
-/// used; if no draw finds a server, the subset is scanned in order.
+/// Random draws for each server to sample. A draw may hit a server that was drawn before or cannot
+/// be used; if no draw finds a server, the subset is scanned in order.
 const DRAWS_PER_SAMPLE: usize = 3;
 
-/// Number of servers of one region that may be unreachable for a request before it leaves the region.
-/// The third and last attempt then goes to another region, even if this one as a whole does not count
-/// as unreachable yet.
+/// Number of servers of one region that may be unreachable for a request before it leaves the
+/// region. The third and last attempt then goes to another region, even if this one as a whole does
+/// not count as unreachable yet.
 const MAX_LOST_ATTEMPTS: usize = 2;
 
 /// The state that the selection for one request depends on.
@@ -71,8 +71,8 @@
         order.iter().copied().find(|key| self.is_usable(*key))
     }
 
-    /// Selects the best of a few sampled local servers, the servers that hold the prefix, and one server
-    /// of each other region.
+    /// Selects the best of a few sampled local servers, the servers that hold the prefix, and one
+    /// server of each other region.
     pub(crate) fn select(&self, rng: &mut fastrand::Rng) -> Result<ServerKey, NotRun> {
         let mut best = BestServer::default();
         self.sample_local(rng, &mut best);
@@ -162,8 +162,8 @@
         None
     }
 
-    /// Whether traffic to the server is allowed: its region is reachable, and it is the local region or
-    /// its link has byte budget left.
+    /// Whether traffic to the server is allowed: its region is reachable, and it is the local
+    /// region or its link has byte budget left.
     fn is_path_open(&self, key: ServerKey) -> bool {
         let view = &self.servers[key].view;
         if self.is_region_unreachable(key) {
@@ -172,8 +172,8 @@
         self.cost.is_local(view) || self.cost.has_budget(self.now, &view.region)
     }
 
-    /// Whether the server's region was recently unreachable, for other requests or for this one, which
-    /// failed to reach two of its servers and makes its last attempt in another region.
+    /// Whether the server's region was recently unreachable, for other requests or for this one,
+    /// which failed to reach two of its servers and makes its last attempt in another region.
     fn is_region_unreachable(&self, key: ServerKey) -> bool {
         let region = &self.servers[key].view.region;
         if self.reach.avoids_region(self.now, region) {
@@ -293,8 +293,8 @@
 }
 
 impl ScoreParts {
-    /// Returns the total cost. A saving that is not realized counts as cost, so that the score cannot
-    /// be negative.
+    /// Returns the total cost. A saving that is not realized counts as cost, so that the score
+    /// cannot be negative.
     fn score(&self) -> u64 {
         let cost = self.wait.saturating_add(self.contention);
         cost.saturating_add(self.network_cost) + self.max_saving.saturating_sub(self.prefix_saving)
--- a/lib/src/router.rs
+++ b/lib/src/router.rs
@@ -1,14 +1,14 @@
-//! Selects the server that an entry sends a request to. The only routing module that the daemon uses.
+//! Selects the server that an entry sends a request to. The daemon calls no other routing module.
 //!
-//! Load pattern: hundreds of entries, each with a delayed and partial view, in front of servers whose
-//! requests differ in length by a factor of a thousand. Without this router, entries send to the same
-//! servers at the same time, cross regions without need, keep sending to slow or lost servers, and
-//! multiply every failure by their retries.
+//! Load pattern: hundreds of entries, each with a delayed and partial view, in front of servers
+//! whose requests differ in length by a factor of a thousand. Without this router, entries send to
+//! the same servers at the same time, cross regions without need, keep sending to slow or lost
+//! servers, and multiply every failure by their retries.
 //!
-//! The router samples a few servers of a bounded subset, adds those that hold the prompt's prefix and
-//! one server of each other region, and takes the one with the lowest sum of wait, contention and
-//! network cost, less the time saved by a cached prefix. The cost of a selection does not depend on the
-//! number of servers.
+//! The router samples a few servers of a bounded subset, adds those that hold the prompt's prefix
+//! and one server of each other region, and takes the one with the lowest sum of wait, contention
+//! and network cost, less the time saved by a cached prefix. The cost of a selection does not
+//! depend on the number of servers.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -40,8 +40,8 @@
 use crate::time::Time;
 use crate::zone_cost::ZoneCost;
 
-/// Minimum number of tokens for a measurement of the time per token: with fewer, the wait before the
-/// first token dominates.
+/// Minimum number of tokens for a measurement of the time per token: with fewer, the wait before
+/// the first token dominates.
 const MIN_TIMED_TOKENS: u32 = 8;
 
 /// Selects servers for the requests of one entry.
@@ -158,8 +158,8 @@
     ///
     /// # Errors
     ///
-    /// [`NotRun`] with the reason: the service is unknown, no server has the model, or no server that
-    /// has not been tried yet is usable.
+    /// [`NotRun`] with the reason: the service is unknown, no server has the model, or no server
+    /// that has not been tried yet is usable.
     pub fn choose(
         &mut self,
         now: Time,
@@ -195,7 +195,8 @@
         }
     }
 
-    /// Records that the first token, or the head of a plain answer, arrived `waited` after dispatch.
+    /// Records that the first token, or the head of a plain answer, arrived `waited` after
+    /// dispatch.
     pub fn first_token(&mut self, now: Time, server: ServerKey, waited: Duration) {
         let Some(known) = self.servers.get_mut(server) else {
             return;
--- a/lib/src/routing.rs
+++ b/lib/src/routing.rs
@@ -126,7 +126,8 @@
     pub prefix: u64,
     /// The number of tokens that the request is expected to hold at its end.
     pub expected_tokens: u32,
-    /// The hash of a keyed call's key: calls with the same hash go to the same server while it is ready.
+    /// The hash of a keyed call's key: calls with the same hash go to the same server while it is
+    /// ready.
     pub affinity: Option<u64>,
     /// The servers of earlier attempts.
     pub tried: &'a [ServerKey],
@@ -181,20 +182,20 @@
 
 /// Default number of local servers that an entry sends to for each model. At the target of 1,000
 /// replicas of 23 models in 4 regions, a region has about 11 replicas of a model, so most subsets
-/// contain all of them. A model with 250 replicas in a region is spread over 92 entries, with about 9
-/// entries for each server.
+/// contain all of them. A model with 250 replicas in a region is spread over 92 entries, with about
+/// 9 entries for each server.
 pub const LOCAL_SUBSET: usize = 24;
 
 /// Default number of servers in each other region that an entry may send to, sufficient if some of
 /// them leave.
 pub const REMOTE_SUBSET: usize = 6;
 
-/// Default number of local servers sampled for each request. See docs/design/routing.md for a comparison
-/// of values.
+/// Default number of local servers sampled for each request. See docs/design/routing.md for a
+/// comparison of values.
 pub const SAMPLE_SIZE: usize = 3;
 
-/// Default time saved by a cached prefix, until the settings provide a measured one: about the prefill
-/// of 1,000 tokens.
+/// Default time saved by a cached prefix, until the settings provide a measured one: about the
+/// prefill of 1,000 tokens.
 pub const PREFIX_SAVING: Duration = Duration::from_millis(80);
 
 impl RouterSettings {
--- a/lib/src/score.rs
+++ b/lib/src/score.rs
@@ -1,16 +1,18 @@
 //! Estimates the wait at a server from local requests in flight and delayed load reports.
 //!
-//! Load pattern: hundreds of entries see the same report, a few hundred milliseconds old, of one idle
-//! server. Without damping, all of them send there at once, the server is full by the next report, and
-//! all of them move away again: load oscillates between servers with the period of the reports.
+//! Load pattern: hundreds of entries see the same report, a few hundred milliseconds old, of one
+//! idle server. Without damping, all of them send there at once, the server is full by the next
+//! report, and all of them move away again: load oscillates between servers with the period of the
+//! reports.
 //!
-//! Three mechanisms damp this. Local requests since the report count at once, and count several times,
-//! because the other entries that saw the report are assumed to act alike. A report's deviation from
-//! the mean of all servers decays with its age. And the router compares only a few sampled servers.
+//! Three mechanisms damp this. Local requests since the report count at once, and count several
+//! times, because the other entries that saw the report are assumed to act alike. A report's
+//! deviation from the mean of all servers decays with its age. And the router compares only a few
+//! sampled servers.
 //!
-//! A report may also be wrong, for example when its sender's figures are stuck. A report with load that
-//! does not change keeps aging as if it had not arrived, and waits observed by this entry count where
-//! they are longer than the reported one.
+//! A report may also be wrong, for example when its sender's figures are stuck. A report with load
+//! that does not change keeps aging as if it had not arrived, and waits observed by this entry
+//! count where they are longer than the reported one.
 //!
 //! Delay: local requests count at once; a report counts on arrival; an observed wait decays within
 //! seconds.
@@ -20,10 +22,11 @@
 use crate::load::LoadSummary;
 use crate::time::Time;
 
-/// Half-life of a report's deviation from the mean, as a fraction of the mean request duration. A batch
-/// of one-second requests has turned over after a second; a batch of minute-long requests has not. With
-/// 90 entries and requests of 1.5 s at 0.8 of capacity, the p95 wait was 482 ms with a fixed half-life
-/// of 2 s and 295 ms with 0.15. Smaller values gain little there and are worse for long requests.
+/// Half-life of a report's deviation from the mean, as a fraction of the mean request duration. A
+/// batch of one-second requests has turned over after a second; a batch of minute-long requests has
+/// not. With 90 entries and requests of 1.5 s at 0.8 of capacity, the p95 wait was 482 ms with a
+/// fixed half-life of 2 s and 295 ms with 0.15. Smaller values gain little there and are worse for
+/// long requests.
 pub(crate) const REPORT_HALF_LIFE: f64 = 0.15;
 
 /// Bounds of a report's half-life, in seconds. Delivery alone takes about the lower bound; a report
@@ -39,9 +42,9 @@
 /// engines and published batching curves lie between 1/20 and 1/5.
 const CONTENTION: f64 = 0.125;
 
-/// Minimum token gap for the contention estimate, in microseconds. The gap is unknown before the first
-/// report; without a minimum, local requests in flight would not count and a burst would be spread at
-/// random.
+/// Minimum token gap for the contention estimate, in microseconds. The gap is unknown before the
+/// first report; without a minimum, local requests in flight would not count and a burst would be
+/// spread at random.
 const MIN_TOKEN_GAP: f64 = 5_000.0;
 
 /// EWMA weight of a newly observed wait or request duration.
@@ -119,8 +122,8 @@
 }
 
 impl LoadTracker {
-    /// Records a report. Returns whether it counts as new: a report with load that is equal to the one
-    /// before does not.
+    /// Records a report. Returns whether it counts as new: a report with load that is equal to the
+    /// one before does not.
     pub(crate) fn report(&mut self, now: Time, load: LoadSummary) -> bool {
         self.report_received = now;
         let has_load = load.running + load.queued > 0;
@@ -200,7 +203,8 @@
     }
 
     /// Requests added since the report: those of this entry, scaled up by its share of the reported
-    /// load to include what other entries are assumed to have sent. Negative if requests have ended.
+    /// load to include what other entries are assumed to have sent. Negative if requests have
+    /// ended.
     fn requests_since_report(&self) -> f64 {
         let own = f64::from(self.in_flight) - f64::from(self.base);
         if own <= 0.0 {
@@ -211,7 +215,8 @@
         own * per_request.clamp(1.0, MAX_REQUEST_WEIGHT)
     }
 
-    /// The wait caused by `added` requests, as far as they do not fit into the server's free memory.
+    /// The wait caused by `added` requests, as far as they do not fit into the server's free
+    /// memory.
     fn queueing_delay(&self, added: f64, tokens: u32) -> f64 {
         let fitting = self.report.free_tokens as f64 / f64::from(tokens.max(1));
         let excess = (added - fitting).max(0.0);
--- a/lib/tests/routing.rs
+++ b/lib/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Choosing a server: membership, subsets, keyed calls, links, prefixes.
+//! Tests server selection: membership, subsets, keyed calls, links and prefixes.
 
 use std::time::Duration;
 
@@ -20,22 +20,22 @@
 use cicada_lib::zone_cost::CostSettings;
 use quickcheck::QuickCheck;
 
-struct Words {
+struct Target {
     service: Name,
     model: Name,
     workspace: Name,
 }
 
-impl Words {
+impl Target {
     fn new() -> Self {
-        Words {
+        Target {
             service: Name::new("ceremony"),
             model: Name::new("hymns"),
             workspace: Name::new("alpha"),
         }
     }
 
-    fn ask<'a>(&'a self, tried: &'a [ServerKey]) -> RouteRequest<'a> {
+    fn request<'a>(&'a self, tried: &'a [ServerKey]) -> RouteRequest<'a> {
         RouteRequest {
             service: &self.service,
             model: &self.model,
@@ -67,7 +67,7 @@
     )
 }
 
-/// A router in `north` before `local` servers there and `remote` in `south`.
+/// Creates a router in `north` with `local` servers there and `remote` servers in `south`.
 fn router(local: usize, remote: usize) -> Router {
     with_settings(settings("north"), local, remote)
 }
@@ -94,77 +94,77 @@
     }
 }
 
-fn chosen(router: &mut Router, now: Time, words: &Words, seed: u64) -> String {
+fn chosen(router: &mut Router, now: Time, target: &Target, seed: u64) -> String {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let key = router.choose(now, &words.ask(&[]), &mut rng).unwrap();
+    let key = router.choose(now, &target.request(&[]), &mut rng).unwrap();
     router.name(key).unwrap().to_string()
 }
 
 #[test]
-fn unknown_service_and_unplaced_model_are_told_apart() {
+fn unknown_service_and_unplaced_model_are_refused_with_different_reasons() {
     let mut router = router(2, 0);
-    let mut words = Words::new();
-    words.model = Name::new("other");
+    let mut target = Target::new();
+    target.model = Name::new("other");
     let mut rng = fastrand::Rng::with_seed(1);
-    let refused = router.choose(Time::ZERO, &words.ask(&[]), &mut rng);
+    let refused = router.choose(Time::ZERO, &target.request(&[]), &mut rng);
     assert_eq!(refused.unwrap_err().reason(), RefusalReason::NotPlaced);
-    words.service = Name::new("other");
-    let refused = router.choose(Time::ZERO, &words.ask(&[]), &mut rng);
+    target.service = Name::new("other");
+    let refused = router.choose(Time::ZERO, &target.request(&[]), &mut rng);
     assert_eq!(refused.unwrap_err().reason(), RefusalReason::ServiceUnknown);
 }
 
 #[test]
 fn a_tried_server_is_not_chosen_again() {
     let mut router = router(3, 0);
-    let words = Words::new();
+    let target = Target::new();
     let mut rng = fastrand::Rng::with_seed(1);
     let mut tried = Vec::new();
     for _ in 0..3 {
-        let key = router.choose(Time::ZERO, &words.ask(&tried), &mut rng);
+        let key = router.choose(Time::ZERO, &target.request(&tried), &mut rng);
         tried.push(key.unwrap());
     }
     tried.sort();
     tried.dedup();
     assert_eq!(tried.len(), 3);
-    let refused = router.choose(Time::ZERO, &words.ask(&tried), &mut rng);
+    let refused = router.choose(Time::ZERO, &target.request(&tried), &mut rng);
     let refused = refused.unwrap_err();
     assert_eq!(refused.reason(), RefusalReason::NoBackend);
     assert!(refused.retry_after().is_some());
 }
 
 #[test]
-fn when_all_leave_the_refusal_says_so() {
+fn refusal_reason_is_draining_when_all_servers_drain() {
     let mut router = router(2, 0);
-    let words = Words::new();
+    let target = Target::new();
     for i in 0..2 {
         let name = Name::new(format!("north-{i}"));
         router.set_state(Time::ZERO, &name, ServerState::Draining);
     }
     let mut rng = fastrand::Rng::with_seed(1);
-    let refused = router.choose(Time::ZERO, &words.ask(&[]), &mut rng);
+    let refused = router.choose(Time::ZERO, &target.request(&[]), &mut rng);
     assert_eq!(refused.unwrap_err().reason(), RefusalReason::Draining);
 }
 
 #[test]
-fn a_server_that_says_it_leaves_gets_nothing_new() {
-    // The list lags: it shows the server as ready seconds after the agent has begun to leave. The
-    // agent's own word on a reply comes first, and is enough.
+fn a_server_that_reports_draining_gets_no_new_request() {
+    // The server list lags: it shows a server as ready for seconds after its agent has begun to
+    // drain. The load report on a reply arrives earlier and must suffice.
     let mut router = router(2, 0);
-    let words = Words::new();
-    let leaving = router.key(&Name::new("north-0")).unwrap();
-    let word = LoadSummary {
+    let target = Target::new();
+    let drained = router.key(&Name::new("north-0")).unwrap();
+    let report = LoadSummary {
         draining: true,
         ..load(0, 0)
     };
-    router.report(Time::ZERO, leaving, word);
+    router.report(Time::ZERO, drained, report);
     for seed in 0..100 {
-        assert_eq!(chosen(&mut router, Time::ZERO, &words, seed), "north-1");
+        assert_eq!(chosen(&mut router, Time::ZERO, &target, seed), "north-1");
     }
 }
 
 #[test]
-fn a_small_difference_does_not_cross_regions_and_a_large_one_does() {
-    let words = Words::new();
+fn only_a_large_difference_in_wait_crosses_regions() {
+    let target = Target::new();
     for (wait, crosses) in [(100, false), (2_000, true)] {
         let mut router = router(2, 2);
         for i in 0..2 {
@@ -173,63 +173,63 @@
             let far = router.key(&Name::new(format!("south-{i}"))).unwrap();
             router.report(Time::ZERO, far, load(0, 4));
         }
-        let name = chosen(&mut router, Time::ZERO, &words, 3);
+        let name = chosen(&mut router, Time::ZERO, &target, 3);
         assert_eq!(name.starts_with("south"), crosses, "{name} at {wait} ms");
     }
 }
 
 #[test]
-fn a_link_without_bytes_is_not_crossed_by_choice_but_when_nothing_else_is_left() {
-    let words = Words::new();
+fn a_link_over_budget_is_used_only_if_no_other_server_is_left() {
+    let target = Target::new();
     let cost = CostSettings::new().with_link_bytes(10);
     let mut router = with_settings(settings("north").with_cost(cost), 1, 1);
     let near = router.key(&Name::new("north-0")).unwrap();
     let far = router.key(&Name::new("south-0")).unwrap();
     router.report(Time::ZERO, near, load(5_000, 4));
     router.report(Time::ZERO, far, load(0, 4));
-    assert_eq!(chosen(&mut router, Time::ZERO, &words, 1), "south-0");
-    router.started(Time::ZERO, far, &words.ask(&[]));
-    assert_eq!(chosen(&mut router, Time::ZERO, &words, 1), "north-0");
-    let over = router.explain(Time::ZERO, &words.ask(&[]));
-    assert_eq!(over[1].eligibility, Eligibility::OverBudget);
+    assert_eq!(chosen(&mut router, Time::ZERO, &target, 1), "south-0");
+    router.started(Time::ZERO, far, &target.request(&[]));
+    assert_eq!(chosen(&mut router, Time::ZERO, &target, 1), "north-0");
+    let candidates = router.explain(Time::ZERO, &target.request(&[]));
+    assert_eq!(candidates[1].eligibility, Eligibility::OverBudget);
     router.set_state(Time::ZERO, &Name::new("north-0"), ServerState::Gone);
-    assert_eq!(chosen(&mut router, Time::ZERO, &words, 1), "south-0");
+    assert_eq!(chosen(&mut router, Time::ZERO, &target, 1), "south-0");
 }
 
 #[test]
-fn keyed_calls_keep_to_one_server_at_every_entry_and_move_only_when_it_leaves() {
-    let words = Words::new();
+fn keyed_calls_use_one_server_from_every_entry_and_move_only_while_it_drains() {
+    let target = Target::new();
     let mut routers = [router(3, 3), with_settings(settings("south"), 3, 3)];
     let mut rng = fastrand::Rng::with_seed(1);
     for affinity in 0..200 {
-        let ask = RouteRequest {
+        let request = RouteRequest {
             affinity: Some(affinity),
-            ..words.ask(&[])
+            ..target.request(&[])
         };
         let mut names = Vec::new();
         for router in &mut routers {
-            let key = router.choose(Time::ZERO, &ask, &mut rng).unwrap();
+            let key = router.choose(Time::ZERO, &request, &mut rng).unwrap();
             names.push(router.name(key).unwrap().clone());
         }
         assert_eq!(names[0], names[1]);
     }
-    let ask = RouteRequest {
+    let request = RouteRequest {
         affinity: Some(7),
-        ..words.ask(&[])
+        ..target.request(&[])
     };
-    let first = routers[0].choose(Time::ZERO, &ask, &mut rng).unwrap();
+    let first = routers[0].choose(Time::ZERO, &request, &mut rng).unwrap();
     let name = routers[0].name(first).unwrap().clone();
     routers[0].set_state(Time::ZERO, &name, ServerState::Draining);
-    let second = routers[0].choose(Time::ZERO, &ask, &mut rng).unwrap();
+    let second = routers[0].choose(Time::ZERO, &request, &mut rng).unwrap();
     assert_ne!(first, second);
     routers[0].set_state(Time::ZERO, &name, ServerState::Ready);
-    let back = routers[0].choose(Time::ZERO, &ask, &mut rng).unwrap();
+    let back = routers[0].choose(Time::ZERO, &request, &mut rng).unwrap();
     assert_eq!(first, back);
 }
 
 #[test]
-fn a_held_prefix_draws_until_its_server_is_busier_by_more_than_it_saves() {
-    let words = Words::new();
+fn a_cached_prefix_is_preferred_until_the_wait_exceeds_the_saving() {
+    let target = Target::new();
     let mut router = router(8, 0);
     let holder = router.key(&Name::new("north-5")).unwrap();
     let event = CacheEvent {
@@ -238,34 +238,34 @@
         stored: true,
     };
     router.cache_event(Time::ZERO, holder, &event);
-    let ask = RouteRequest {
+    let request = RouteRequest {
         prefix: 99,
-        ..words.ask(&[])
+        ..target.request(&[])
     };
     for i in 0..8 {
         let key = router.key(&Name::new(format!("north-{i}"))).unwrap();
         router.report(Time::ZERO, key, load(0, 1));
     }
     let mut rng = fastrand::Rng::with_seed(4);
-    assert_eq!(router.choose(Time::ZERO, &ask, &mut rng), Ok(holder));
+    assert_eq!(router.choose(Time::ZERO, &request, &mut rng), Ok(holder));
     router.report(Time::ZERO, holder, load(500, 1));
-    assert_ne!(router.choose(Time::ZERO, &ask, &mut rng), Ok(holder));
+    assert_ne!(router.choose(Time::ZERO, &request, &mut rng), Ok(holder));
 }
 
 #[test]
-fn a_lost_region_costs_a_few_tries_and_then_one_probe_a_second() {
-    // The own region's hosts are unreachable, and the list goes on showing them as ready. The caller
-    // would see its tries used up one after the other. After three servers were lost the region is
-    // passed over, but for one request a second that finds out whether it is back.
-    let words = Words::new();
+fn an_unreachable_region_costs_a_few_attempts_and_one_probe_per_second() {
+    // All hosts of the local region are unreachable, but the server list still shows them as ready,
+    // so a request could use up its attempts on them one after the other. After three lost servers
+    // the region must be avoided, except for one request per second that probes whether it is back.
+    let target = Target::new();
     let mut router = router(12, 6);
     let mut rng = fastrand::Rng::with_seed(2);
     let mut lost = 0;
     for i in 0..2_000u64 {
         let now = Time::from_millis(i * 5);
-        let ask = words.ask(&[]);
-        let key = router.choose(now, &ask, &mut rng).unwrap();
-        router.started(now, key, &ask);
+        let request = target.request(&[]);
+        let key = router.choose(now, &request, &mut rng).unwrap();
+        router.started(now, key, &request);
         let result = if router.name(key).unwrap().as_str().starts_with("north") {
             lost += 1;
             AttemptResult::Lost
@@ -294,11 +294,11 @@
 }
 
 #[test]
-fn what_leaves_is_forgotten_once_its_last_request_is_over() {
-    let words = Words::new();
+fn a_removed_server_is_forgotten_after_its_last_request_ends() {
+    let target = Target::new();
     let mut router = router(1, 0);
     let key = router.key(&Name::new("north-0")).unwrap();
-    router.started(Time::ZERO, key, &words.ask(&[]));
+    router.started(Time::ZERO, key, &target.request(&[]));
     router.set_servers(Time::ZERO, &[]);
     assert!(router.name(key).is_some());
     let end = AttemptEnd::new(AttemptResult::Ok, Duration::from_millis(4));
@@ -307,18 +307,18 @@
 }
 
 #[test]
-fn draining_ejected_and_gone_servers_are_never_chosen() {
-    fn never(steps: Vec<(u8, u8)>) -> bool {
-        let words = Words::new();
+fn draining_ejected_and_gone_servers_are_never_selected() {
+    fn never_selected(steps: Vec<(u8, u8)>) -> bool {
+        let target = Target::new();
         let mut router = router(6, 3);
         let mut rng = fastrand::Rng::with_seed(steps.len() as u64);
         let mut now = Time::ZERO;
         let mut states = [ServerState::Ready; 6];
-        for (what, which) in steps {
-            now = now + Duration::from_millis(u64::from(which) * 10);
-            let index = usize::from(which) % 6;
+        for (action, pick) in steps {
+            now = now + Duration::from_millis(u64::from(pick) * 10);
+            let index = usize::from(pick) % 6;
             let name = Name::new(format!("north-{index}"));
-            let state = match what % 4 {
+            let state = match action % 4 {
                 0 => ServerState::Ready,
                 1 => ServerState::Draining,
                 2 => ServerState::Gone,
@@ -326,21 +326,21 @@
             };
             states[index] = state;
             router.set_state(now, &name, state);
-            let ask = RouteRequest {
-                affinity: (what > 128).then_some(u64::from(which)),
-                ..words.ask(&[])
+            let request = RouteRequest {
+                affinity: (action > 128).then_some(u64::from(pick)),
+                ..target.request(&[])
             };
-            let key = router.choose(now, &ask, &mut rng).unwrap();
+            let key = router.choose(now, &request, &mut rng).unwrap();
             let chosen = router.name(key).unwrap();
-            let of = states.iter().enumerate();
-            for (i, state) in of {
+            let indexed = states.iter().enumerate();
+            for (i, state) in indexed {
                 if *state != ServerState::Ready && chosen.as_str() == format!("north-{i}") {
                     return false;
                 }
             }
-            router.started(now, key, &ask);
+            router.started(now, key, &request);
             let end = AttemptEnd::new(AttemptResult::Failed, Duration::from_millis(5));
-            if what > 64 {
+            if action > 64 {
                 router.finished(now, key, &end);
             }
         }
@@ -348,13 +348,13 @@
     }
     QuickCheck::new()
         .tests(300)
-        .quickcheck(never as fn(Vec<(u8, u8)>) -> bool);
+        .quickcheck(never_selected as fn(Vec<(u8, u8)>) -> bool);
 }
 
 #[test]
 fn retries_of_a_service_never_exceed_its_budget() {
-    fn bounded(steps: Vec<(bool, u8)>) -> bool {
-        let words = Words::new();
+    fn within_budget(steps: Vec<(bool, u8)>) -> bool {
+        let target = Target::new();
         let mut router = router(3, 0);
         let mut rng = fastrand::Rng::with_seed(1);
         let mut now = Time::ZERO;
@@ -363,12 +363,12 @@
         for (fresh, pause) in steps {
             now = now + Duration::from_millis(u64::from(pause));
             if fresh {
-                let key = router.choose(now, &words.ask(&[]), &mut rng).unwrap();
-                router.started(now, key, &words.ask(&[]));
+                let key = router.choose(now, &target.request(&[]), &mut rng).unwrap();
+                router.started(now, key, &target.request(&[]));
                 first += 1.0;
             }
             let reason = RetryReason::AgentRefused;
-            if router.may_retry(now, &words.service, reason).is_some() {
+            if router.may_retry(now, &target.service, reason).is_some() {
                 retries += 1.0;
             }
             if retries > 32.0 + 0.1 * (first + now.seconds()) + 1e-6 {
@@ -379,5 +379,5 @@
     }
     QuickCheck::new()
         .tests(200)
-        .quickcheck(bounded as fn(Vec<(bool, u8)>) -> bool);
+        .quickcheck(within_budget as fn(Vec<(bool, u8)>) -> bool);
 }
