--- a/lib/src/route_table.rs
+++ b/lib/src/route_table.rs
@@ -82,7 +82,7 @@
     }
 
     /// Whether a configuration has been loaded.
-    pub fn is_known(&self) -> bool {
+    pub fn has_config(&self) -> bool {
         self.config.version > 0
     }
 
@@ -98,7 +98,7 @@
 
     /// Counts the distinct priorities that are more urgent than the route's, among all streaming
     /// routes to the service.
-    pub fn more_urgent(&self, service: &Name, route: &Route) -> u32 {
+    pub fn count_higher_priorities(&self, service: &Name, route: &Route) -> u32 {
         let streams = self.config.routes.iter().filter(|other| {
             let uses_service = other.shares.iter().any(|share| &share.service == service);
             uses_service && other.kind == CallKind::Streaming && other.priority < route.priority
@@ -174,7 +174,7 @@
 }
 
 /// Picks one of a route's services by weight. `draw` is a uniform random number in `[0, 1)`.
-pub fn share_of(route: &Route, draw: f64) -> Option<&Name> {
+pub fn pick_service(route: &Route, draw: f64) -> Option<&Name> {
     let total: u64 = route.shares.iter().map(|s| u64::from(s.weight)).sum();
     let mut remaining = (draw * total as f64) as u64;
     for share in &route.shares {
--- a/lib/tests/route_table.rs
+++ b/lib/tests/route_table.rs
@@ -7,7 +7,7 @@
 use cicada_lib::residency::AllowedRegions;
 use cicada_lib::route_table::Denied;
 use cicada_lib::route_table::RouteTable;
-use cicada_lib::route_table::share_of;
+use cicada_lib::route_table::pick_service;
 use cicada_lib::route_table::time_limit;
 use cicada_lib::site::CallKind;
 use cicada_lib::site::Route;
@@ -134,7 +134,7 @@
     split.shares = vec![share("a", 90), share("none", 0), share("b", 10)];
     let picked = |name: &str| {
         let draws = (0..1_000).map(|n| f64::from(n) / 1_000.0);
-        let services = draws.filter_map(|draw| share_of(&split, draw));
+        let services = draws.filter_map(|draw| pick_service(&split, draw));
         services.filter(|service| service.as_str() == name).count()
     };
     assert_eq!((picked("a"), picked("none"), picked("b")), (900, 0, 100));
--- a/relay/src/exchange.rs
+++ b/relay/src/exchange.rs
@@ -15,7 +15,7 @@
 use cicada_lib::route_table::Admitted;
 use cicada_lib::route_table::Denied;
 use cicada_lib::route_table::RouteTable;
-use cicada_lib::route_table::share_of;
+use cicada_lib::route_table::pick_service;
 use cicada_lib::route_table::time_limit;
 use cicada_lib::site::CallKind;
 use cicada_lib::site::ServiceSpec;
@@ -176,7 +176,7 @@
     let came = relay.now();
     relay.sure().await;
     let table = relay.table();
-    if !table.is_known() {
+    if !table.has_config() {
         relay.figures().refusal("no_config");
         return Err(OwnAnswer::NotRun(start_pause()));
     }
@@ -187,7 +187,7 @@
     let limit = arrived + time;
     let deadline = came + time;
     let body = read_body(body, table.config().limits.max_body_bytes, limit).await?;
-    let service = share_of(&admitted.route, fastrand::f64()).cloned();
+    let service = pick_service(&admitted.route, fastrand::f64()).cloned();
     let service = service.ok_or(OwnAnswer::NotRun(start_pause()))?;
     let spec = table
         .service(&service)
--- a/relay/src/relay.rs
+++ b/relay/src/relay.rs
@@ -261,7 +261,7 @@
 
     /// Whether new connections are welcome.
     pub fn is_ready(&self) -> bool {
-        let knows = self.table.load().is_known() && self.listed.load(Ordering::Relaxed);
+        let knows = self.table.load().has_config() && self.listed.load(Ordering::Relaxed);
         knows && !self.is_draining()
     }
 
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -139,7 +139,7 @@
 fn asking(relay: &Relay, call: &Call) -> AdmissionRequest {
     let route = &call.admitted.route;
     AdmissionRequest {
-        rank: relay.table().more_urgent(&call.service, route),
+        rank: relay.table().count_higher_priorities(&call.service, route),
         age: age(relay, call),
         over_share: relay.is_over(&call.service, call.admitted.workspace.as_ref()),
         objective: route.objective,
