--- a/lib/src/score.rs
+++ b/lib/src/score.rs
@@ -154,9 +154,9 @@
         self.observed_at = now;
     }
 
-    pub(crate) fn finished(&mut self, now: Time, duration: Duration, began: bool) {
+    pub(crate) fn finished(&mut self, now: Time, duration: Duration, first_token: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        if !began {
+        if !first_token {
             self.pending = self.pending.saturating_sub(1);
         }
         self.last_progress = now;
