--- a/lib/src/batch.rs
+++ b/lib/src/batch.rs
@@ -1,4 +1,4 @@
-//! What runs on one engine, what is displaced, and what still fits.
+//! The running batch of one engine: its jobs, the preempted ones, and admission by memory.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,49 +12,50 @@
 use crate::memory_plan::VictimCandidate;
 use crate::scheduler::JobKey;
 use crate::shares::Account;
-use crate::shares::TOKEN;
+use crate::shares::TOKEN_COST;
 use crate::tenants::TenantKey;
 use crate::tenants::Tenants;
 use crate::time::Time;
 
-/// Tokens of a running job that are held against its workspace ahead of time.
-const HORIZON: f64 = 128.0;
+/// The most expected tokens of a running job whose cost is reserved in its workspace's account.
+const MAX_RESERVED_TOKENS: f64 = 128.0;
 
-/// Where a job stands.
+/// The state of a job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum State {
+pub(crate) enum JobState {
     Queued,
     Running,
-    /// Displaced by the scheduler, which has to resume it.
+    /// Preempted by the scheduler, which has to resume it.
     Paused,
-    /// Displaced by the engine, which resumes it by itself.
-    Displaced,
-    /// Told to end.
+    /// Preempted by the engine, which resumes it by itself.
+    PreemptedByEngine,
+    /// Ordered to end, and not yet reported as finished.
     Aborted,
 }
 
-/// A job from its acceptance to its end.
+/// A job, from admission to its end.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) tenant: TenantKey,
     pub(crate) kind: Name,
-    pub(crate) prompt: u32,
-    pub(crate) limit: u32,
-    pub(crate) state: State,
+    pub(crate) prompt_tokens: u32,
+    pub(crate) max_tokens: u32,
+    pub(crate) state: JobState,
     pub(crate) due: Time,
-    /// When something must be done for it: refuse it or end it.
-    pub(crate) alarm: Option<Time>,
+    /// When the job must be refused if it is still queued, or aborted if it has started.
+    pub(crate) timeout: Option<Time>,
     pub(crate) deadline: Option<Time>,
-    /// Its cost as expected when it came.
+    /// The total cost expected at admission.
     pub(crate) cost: u64,
+    /// Index into [`CostByLength`](crate::tenants::CostByLength).
     pub(crate) band: usize,
-    /// Cost held against its workspace.
-    pub(crate) held: u64,
+    /// Cost reserved in the account of its workspace.
+    pub(crate) reserved_cost: u64,
     pub(crate) produced: u32,
     pub(crate) pauses: u32,
-    /// What was expected when it had produced `checked` tokens.
+    /// The length estimate made when `estimated_at` tokens had been produced.
     pub(crate) expected: Expectation,
-    pub(crate) checked: u32,
+    pub(crate) estimated_at: u32,
     pub(crate) last_token: Option<Time>,
     pub(crate) arrived: Time,
     pub(crate) expected_wait: Duration,
@@ -63,63 +64,66 @@
 /// The running batch.
 #[derive(Debug)]
 pub(crate) struct Batch {
-    pub(crate) plan: MemoryPlan,
-    // The jobs that are running or aborted.
+    pub(crate) memory_plan: MemoryPlan,
+    // The jobs that are running, and those ordered to end.
     running: Vec<JobKey>,
     pub(crate) paused: VecDeque<JobKey>,
-    // Jobs that the engine displaced and still has.
-    displaced: Vec<JobKey>,
-    // Tokens held by `running`.
-    held: u64,
-    // Kept for its memory.
+    // Jobs that the engine preempted and still holds.
+    preempted: Vec<JobKey>,
+    // Tokens in memory of the jobs in `running`.
+    held_tokens: u64,
+    // Reused to avoid allocations.
     scratch: Vec<Footprint>,
 }
 
 impl Job {
-    /// Tokens in memory while it runs.
-    pub(crate) fn size(&self) -> u64 {
-        u64::from(self.prompt) + u64::from(self.produced)
+    /// Tokens in memory while the job runs.
+    pub(crate) fn memory_tokens(&self) -> u64 {
+        u64::from(self.prompt_tokens) + u64::from(self.produced)
     }
 
-    /// Tokens that are expected to follow.
-    pub(crate) fn left(&self) -> f64 {
-        let since = f64::from(self.produced - self.checked);
+    /// Expected number of further tokens, at least 1.
+    pub(crate) fn expected_remaining(&self) -> f64 {
+        let since = f64::from(self.produced - self.estimated_at);
         (self.expected.mean - since).max(1.0)
     }
 
-    /// The cost to be held against its workspace: of what is expected, at most [`HORIZON`].
-    pub(crate) fn ahead(&self) -> u64 {
-        (self.left().min(HORIZON) * TOKEN as f64) as u64
+    /// The cost to reserve: that of the expected tokens, at most [`MAX_RESERVED_TOKENS`].
+    pub(crate) fn cost_to_reserve(&self) -> u64 {
+        (self.expected_remaining().min(MAX_RESERVED_TOKENS) * TOKEN_COST as f64) as u64
     }
 
-    /// The cost by which it stands back behind other workspaces' jobs while it waits.
-    pub(crate) fn next_cost(&self) -> u64 {
-        self.cost.min((HORIZON * TOKEN as f64) as u64)
+    /// The job's cost up to [`MAX_RESERVED_TOKENS`]: what puts it behind the jobs of other
+    /// workspaces while it waits.
+    pub(crate) fn bounded_cost(&self) -> u64 {
+        self.cost
+            .min((MAX_RESERVED_TOKENS * TOKEN_COST as f64) as u64)
     }
 
-    /// Whether the expectation should be made anew: each eighth of its length.
-    pub(crate) fn wants_check(&self) -> bool {
-        self.produced - self.checked >= 8.max(self.produced / 8)
+    /// Whether the length should be estimated anew: each time the output has grown by an eighth,
+    /// and by 8 tokens at least.
+    pub(crate) fn needs_reestimate(&self) -> bool {
+        self.produced - self.estimated_at >= 8.max(self.produced / 8)
     }
 
     fn footprint(&self) -> Footprint {
         Footprint {
-            held: self.size(),
-            mean: self.left(),
+            held: self.memory_tokens(),
+            mean: self.expected_remaining(),
             variance: self.expected.variance,
-            most: u64::from(self.limit.saturating_sub(self.produced)),
+            most: u64::from(self.max_tokens.saturating_sub(self.produced)),
         }
     }
 }
 
 impl Batch {
-    pub(crate) fn new(plan: MemoryPlan) -> Self {
+    pub(crate) fn new(memory_plan: MemoryPlan) -> Self {
         Batch {
-            plan,
+            memory_plan,
             running: Vec::new(),
             paused: VecDeque::new(),
-            displaced: Vec::new(),
-            held: 0,
+            preempted: Vec::new(),
+            held_tokens: 0,
             scratch: Vec::new(),
         }
     }
@@ -128,41 +132,41 @@
         self.running.len()
     }
 
-    /// All that the engine has been given and has not ended.
-    pub(crate) fn open(&self) -> usize {
-        self.running.len() + self.displaced.len()
+    /// The number of jobs that the engine has, running or preempted by it.
+    pub(crate) fn in_engine(&self) -> usize {
+        self.running.len() + self.preempted.len()
     }
 
-    pub(crate) fn held(&self) -> u64 {
-        self.held
+    pub(crate) fn held_tokens(&self) -> u64 {
+        self.held_tokens
     }
 
-    pub(crate) fn has_displaced(&self) -> bool {
-        !self.displaced.is_empty() || !self.paused.is_empty()
+    pub(crate) fn has_preempted(&self) -> bool {
+        !self.preempted.is_empty() || !self.paused.is_empty()
     }
 
     pub(crate) fn add(&mut self, key: JobKey, job: &mut Job) {
-        job.state = State::Running;
+        job.state = JobState::Running;
         job.last_token = None;
-        self.held += job.size();
+        self.held_tokens += job.memory_tokens();
         self.running.push(key);
     }
 
-    pub(crate) fn grow(&mut self) {
-        self.held += 1;
+    pub(crate) fn add_token(&mut self) {
+        self.held_tokens += 1;
     }
 
-    /// Takes a job out of whichever list it stands in, and puts it into that of its new state.
-    pub(crate) fn move_to(&mut self, key: JobKey, job: &mut Job, state: State) {
+    /// Moves a job from the list of its present state to that of the new one.
+    pub(crate) fn move_to(&mut self, key: JobKey, job: &mut Job, state: JobState) {
         self.remove(key, job);
         job.state = state;
         job.last_token = None;
         match state {
-            State::Paused => self.paused.push_back(key),
-            State::Displaced => self.displaced.push(key),
-            State::Queued => {}
-            State::Running | State::Aborted => {
-                self.held += job.size();
+            JobState::Paused => self.paused.push_back(key),
+            JobState::PreemptedByEngine => self.preempted.push(key),
+            JobState::Queued => {}
+            JobState::Running | JobState::Aborted => {
+                self.held_tokens += job.memory_tokens();
                 self.running.push(key);
             }
         }
@@ -170,85 +174,93 @@
 
     pub(crate) fn remove(&mut self, key: JobKey, job: &Job) {
         match job.state {
-            State::Queued => {}
-            State::Running | State::Aborted => {
-                self.held -= job.size();
+            JobState::Queued => {}
+            JobState::Running | JobState::Aborted => {
+                self.held_tokens -= job.memory_tokens();
                 self.running.retain(|&other| other != key);
             }
-            State::Paused => self.paused.retain(|&other| other != key),
-            State::Displaced => self.displaced.retain(|&other| other != key),
+            JobState::Paused => self.paused.retain(|&other| other != key),
+            JobState::PreemptedByEngine => self.preempted.retain(|&other| other != key),
         }
     }
 
-    /// Whether `job` may join those that run within `part` of the memory.
-    pub(crate) fn fits(&mut self, jobs: &SlotMap<JobKey, Job>, job: &Job, part: f64) -> bool {
-        if self.plan.capacity() == 0 || self.open() == 0 {
+    /// Whether `job` fits beside the engine's jobs in `fraction` of the memory.
+    pub(crate) fn fits(&mut self, jobs: &SlotMap<JobKey, Job>, job: &Job, fraction: f64) -> bool {
+        if self.memory_plan.capacity() == 0 || self.in_engine() == 0 {
             return true;
         }
         self.scratch.clear();
-        let open = self.running.iter().chain(&self.displaced);
-        self.scratch.extend(open.map(|&key| jobs[key].footprint()));
+        let in_engine = self.running.iter().chain(&self.preempted);
+        self.scratch
+            .extend(in_engine.map(|&key| jobs[key].footprint()));
         self.scratch.push(job.footprint());
-        self.plan.fits(&mut self.scratch, part)
+        self.memory_plan.fits(&mut self.scratch, fraction)
     }
 
-    /// Whom to displace before the engine does, if it would soon.
+    /// The job to preempt if the engine is about to run out of memory and would preempt one itself.
     pub(crate) fn victim(&self, jobs: &SlotMap<JobKey, Job>, tenants: &Tenants) -> Option<JobKey> {
         let running = self.running.len() as u64;
-        if !self.plan.is_short(self.held, running) {
+        if !self.memory_plan.is_short(self.held_tokens, running) {
             return None;
         }
-        let live = |key: &&JobKey| jobs[**key].state == State::Running;
-        let live: Vec<JobKey> = self.running.iter().filter(live).copied().collect();
-        let mut shares: u64 = 0;
-        let mut seen: Vec<TenantKey> = live.iter().map(|&key| jobs[key].tenant).collect();
-        seen.sort_unstable();
-        seen.dedup();
-        for &tenant in &seen {
-            shares += u64::from(tenants[tenant].account.share());
+        let is_running = |key: &&JobKey| jobs[**key].state == JobState::Running;
+        let running_keys: Vec<JobKey> = self.running.iter().filter(is_running).copied().collect();
+        let mut total_share: u64 = 0;
+        let mut owners: Vec<TenantKey> = running_keys.iter().map(|&key| jobs[key].tenant).collect();
+        owners.sort_unstable();
+        owners.dedup();
+        for &tenant in &owners {
+            total_share += u64::from(tenants[tenant].account.share());
         }
         let candidate = |key: &JobKey| {
             let job = &jobs[*key];
             let tenant = &tenants[job.tenant];
             VictimCandidate {
-                lost_tokens: job.size(),
+                lost_tokens: job.memory_tokens(),
                 preemptions: job.pauses,
-                over_share: holds_more(tenant.held, &tenant.account, self.held, shares),
+                over_share: is_over_share(
+                    tenant.held_tokens,
+                    &tenant.account,
+                    self.held_tokens,
+                    total_share,
+                ),
             }
         };
-        let index = self.plan.victim(live.iter().map(candidate))?;
-        Some(live[index])
+        let index = self
+            .memory_plan
+            .victim(running_keys.iter().map(candidate))?;
+        Some(running_keys[index])
     }
 }
 
-fn holds_more(held: u64, account: &Account, total: u64, shares: u64) -> bool {
-    held * shares > total * u64::from(account.share())
+fn is_over_share(held: u64, account: &Account, total_held: u64, total_share: u64) -> bool {
+    held * total_share > total_held * u64::from(account.share())
 }
 
-/// The mean time between two tokens of a stream.
+/// Moving average of the inter-token latency.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TokenGap {
     micros: f64,
 }
 
 impl TokenGap {
-    // Some 128 gaps, a few steps of a batch.
-    const FOLLOW: f64 = 1.0 / 128.0;
+    // Averages over some 128 gaps: a few steps of a batch.
+    const SMOOTHING: f64 = 1.0 / 128.0;
 
     pub(crate) fn observe(&mut self, gap: Duration) {
         let micros = gap.as_micros() as f64;
         if self.micros == 0.0 {
             self.micros = micros;
         }
-        self.micros += Self::FOLLOW * (micros - self.micros);
+        self.micros += Self::SMOOTHING * (micros - self.micros);
     }
 
     pub(crate) fn micros(&self) -> f64 {
         self.micros
     }
 
-    /// The time for that many tokens.
-    pub(crate) fn times(&self, tokens: f64) -> Duration {
+    /// The time in which a stream produces `tokens` tokens.
+    pub(crate) fn time_for(&self, tokens: f64) -> Duration {
         crate::admission::seconds(self.micros * tokens / 1e6)
     }
 }
--- a/lib/src/shares.rs
+++ b/lib/src/shares.rs
@@ -1,255 +1,271 @@
-//! Weighted fairness between workspaces while lengths are unknown.
+//! Weighted fair queueing between workspaces whose job lengths are unknown.
 //!
-//! Load pattern: a few workspaces ask for more than their share of a crowded engine. First come,
-//! first served gives each what it asks for, so that the loudest takes the others' room.
+//! Load pattern: a few workspaces send more than their share to an overloaded engine. First come,
+//! first served admission gives each what it asks for, so that the most aggressive workspace takes
+//! the capacity of the others.
 //!
-//! Each workspace has a level: the cost that it was charged, divided by its share. The lowest level
-//! is served next. Cost is charged as tokens come; what a running job is still expected to cost is
-//! held against its workspace from the start, since otherwise a workspace on a low level starts a
-//! whole burst before the first token is charged. The difference is settled as the job goes on.
+//! Each workspace has a virtual time: the cost charged to it divided by its share. The workspace
+//! whose next job would finish at the lowest virtual time is served next. Cost is charged as tokens
+//! are produced; the expected remaining cost of running jobs is reserved from their start, since
+//! otherwise a workspace with a low virtual time starts a whole burst before the first token is
+//! charged. Reservations turn into charges as the job proceeds.
 //!
-//! - Idle room is lent: what is produced while nobody waits is not charged.
-//! - Nothing is hoarded: a workspace that begins to wait is lifted to the level of the next to be
-//!   served (the floor), so neither a newcomer nor a returner has credit; one that has jobs running
-//!   keeps [`CREDIT`] at most.
-//! - Work got on other agents is charged here when a request names it, so that shares hold without
-//!   a central counter. Such debt is bounded, since the other agent may have had idle room.
+//! - Idle capacity is free: tokens produced while no workspace waits are not charged.
+//! - Credit does not accumulate: when a workspace starts to wait, its virtual time is raised to
+//!   that of the workspace to be served next (the floor), so neither a new nor a returning one has
+//!   credit. A workspace with running jobs keeps at most [`MAX_CREDIT`].
+//! - Work done on other agents is charged here when a request reports it, so that shares hold
+//!   without a central counter. This debt is bounded, since the other agent may have had idle
+//!   capacity.
 //!
-//! The bound on unfairness between two workspaces that keep waiting is the cost of one job each
-//! over their shares, plus the error of the expected lengths of their running jobs.
+//! The unfairness between two workspaces that stay backlogged is bounded by the cost of one job of
+//! each divided by its share, plus the estimation error for the lengths of their running jobs.
 //!
-//! All is O(log n) in the workspaces that wait.
+//! All operations are O(log n) in the number of waiting workspaces.
 
 use std::collections::BTreeSet;
 
-/// Cost is counted in thousandths of an output token.
-pub const TOKEN: u64 = 1_000;
+/// The cost of an output token; the unit of cost is a thousandth of it.
+pub const TOKEN_COST: u64 = 1_000;
 
-// Levels are cost times this over the share, so that shares of up to 10,000 divide without loss.
+// Virtual time is cost times this divided by the share, to keep precision for shares up to 10,000.
 const SCALE: u64 = 1 << 10;
 
-/// The cost, for a share of 1, by which a workspace may be behind others when it begins to wait
-/// while jobs of it run. It is one long generation.
+/// The most cost, for a share of 1, by which a workspace may be behind the floor when it starts to
+/// wait while it has running jobs. It is one long generation.
 ///
-/// A workspace with a small share runs two or three generations at a time, and its queue is empty
-/// at times even when it asks for more than its share. Lifted to the floor each time, it would lose
-/// what it was behind, and get three quarters of its share. With nothing open it has no credit, so
-/// nobody can save up for a burst.
-pub const CREDIT: u64 = 1_024 * TOKEN;
+/// A workspace with a small share runs two or three generations at a time, and its queue runs empty
+/// now and then even if it asks for more than its share. If it were raised to the floor each time,
+/// it would lose what it is owed and get three quarters of its share. A workspace without running
+/// jobs has no credit, so none can save up for a burst.
+pub const MAX_CREDIT: u64 = 1_024 * TOKEN_COST;
 
 /// The largest share.
 pub const MAX_SHARE: u32 = 10_000;
 
-/// What a workspace was charged.
+/// The cost charged to a workspace and reserved for it.
 #[derive(Clone, Debug)]
 pub struct Account {
     share: u32,
-    // Cost charged, over the share. Never falls.
-    level: u64,
-    // Cost that running jobs are still expected to bring.
-    ahead: u64,
-    // Cost produced here, charged or not.
-    given: u64,
-    // The cost of its next job.
-    head: u64,
-    // Where it stands in the set of those that wait.
-    listed: Option<Place>,
+    // Cost charged, divided by the share. Never decreases.
+    virtual_time: u64,
+    // Expected remaining cost of running jobs.
+    reserved: u64,
+    // Cost of work done here, charged or not.
+    served: u64,
+    // Expected cost of the next job.
+    next_cost: u64,
+    // The tags under which the workspace is queued; none if it does not wait.
+    queued: Option<Tags>,
 }
 
-/// Where a workspace stands. The order is by `end`.
+/// Start and finish tag of a workspace's next job. The order is by finish tag.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Place {
-    // The level at which its next job ends, if it costs what is expected.
-    end: u64,
-    // The level at which it begins.
-    begin: u64,
+struct Tags {
+    // Virtual time at which the next job ends if its cost is as expected.
+    finish: u64,
+    // Virtual time at which the next job starts.
+    start: u64,
 }
 
-/// Who waits, in the order of levels.
+/// The waiting workspaces in the order in which they are served.
 #[derive(Clone, Debug)]
-pub struct Shares<K> {
-    // Invariant: holds exactly the accounts whose `listed` is set.
-    waiting: BTreeSet<(Place, K)>,
-    // Never falls.
+pub struct FairQueue<K> {
+    // Invariant: holds exactly the accounts whose `queued` is set.
+    waiting: BTreeSet<(Tags, K)>,
+    // System virtual time. Never decreases.
     floor: u64,
-    // The sum of the shares of those that wait.
-    weight: u64,
-    // The most cost that work elsewhere may put a workspace over the floor.
+    // Sum of the shares of the waiting workspaces.
+    queued_share: u64,
+    // The most cost by which remote work may put a workspace above the floor.
     debt_limit: u64,
 }
 
 impl Account {
-    /// An account with a share between 1 and [`MAX_SHARE`].
+    /// Creates an account; the share is clamped to between 1 and [`MAX_SHARE`].
     pub fn new(share: u32) -> Self {
         Account {
             share: share.clamp(1, MAX_SHARE),
-            level: 0,
-            ahead: 0,
-            given: 0,
-            head: 0,
-            listed: None,
+            virtual_time: 0,
+            reserved: 0,
+            served: 0,
+            next_cost: 0,
+            queued: None,
         }
     }
 
-    /// The share.
+    /// The weight of the workspace.
     pub fn share(&self) -> u32 {
         self.share
     }
 
-    /// Cost produced here.
-    pub fn given(&self) -> u64 {
-        self.given
+    /// Cost of work done here, charged or not.
+    pub fn served(&self) -> u64 {
+        self.served
     }
 
-    /// Whether it stands among those that wait.
-    pub fn is_listed(&self) -> bool {
-        self.listed.is_some()
+    /// Whether the workspace is in the queue.
+    pub fn is_queued(&self) -> bool {
+        self.queued.is_some()
     }
 
-    /// The level with what running jobs will bring: where its next job begins.
-    pub fn begin(&self) -> u64 {
-        self.level.saturating_add(self.levels(self.ahead))
+    /// The virtual time at which the next job starts: that of the charges and reservations.
+    pub fn start_tag(&self) -> u64 {
+        self.virtual_time
+            .saturating_add(self.to_virtual(self.reserved))
     }
 
-    fn place(&self) -> Place {
-        let next = self.ahead.saturating_add(self.head);
-        Place {
-            end: self.level.saturating_add(self.levels(next)),
-            begin: self.begin(),
+    fn tags(&self) -> Tags {
+        let next = self.reserved.saturating_add(self.next_cost);
+        Tags {
+            finish: self.virtual_time.saturating_add(self.to_virtual(next)),
+            start: self.start_tag(),
         }
     }
 
-    fn levels(&self, cost: u64) -> u64 {
+    fn to_virtual(&self, cost: u64) -> u64 {
         cost.saturating_mul(SCALE) / u64::from(self.share)
     }
 }
 
-impl<K: Copy + Ord> Shares<K> {
-    /// Nobody waits. Work elsewhere counts up to `debt_limit` of cost for a share of 1.
+impl<K: Copy + Ord> FairQueue<K> {
+    /// Creates an empty queue. Remote work is charged up to a cost of `debt_limit` for a share of
+    /// 1.
     pub fn new(debt_limit: u64) -> Self {
-        Shares {
+        FairQueue {
             waiting: BTreeSet::new(),
             floor: 0,
-            weight: 0,
+            queued_share: 0,
             debt_limit,
         }
     }
 
-    /// The sum of the shares of those that wait.
-    pub fn weight(&self) -> u64 {
-        self.weight
+    /// Sum of the shares of the waiting workspaces.
+    pub fn queued_share(&self) -> u64 {
+        self.queued_share
     }
 
-    /// Whether anybody waits.
+    /// Whether any workspace waits.
     pub fn is_contended(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Those that wait, the one to be served next first.
+    /// The waiting workspaces, the one to be served next first.
     pub fn in_order(&self) -> impl Iterator<Item = K> {
         self.waiting.iter().map(|&(_, key)| key)
     }
 
-    /// The workspace waits, and its next job is expected to cost `head`.
-    pub fn list(&mut self, key: K, account: &mut Account, head: u64) {
-        account.head = head;
-        if account.is_listed() {
-            self.relist(key, account);
+    /// Adds the workspace, or updates the expected cost of its next job.
+    pub fn enqueue(&mut self, key: K, account: &mut Account, next_cost: u64) {
+        account.next_cost = next_cost;
+        if account.is_queued() {
+            self.requeue(key, account);
             return;
         }
-        self.raise_floor();
-        // Only the level is lifted: what its running jobs will bring stays held against it.
-        let credit = if account.ahead > 0 { CREDIT * SCALE } else { 0 };
-        account.level = account.level.max(self.floor.saturating_sub(credit));
-        self.weight += u64::from(account.share);
+        self.advance_floor();
+        // Reservations for running jobs remain on top of the raised virtual time.
+        let credit = if account.reserved > 0 {
+            MAX_CREDIT * SCALE
+        } else {
+            0
+        };
+        account.virtual_time = account.virtual_time.max(self.floor.saturating_sub(credit));
+        self.queued_share += u64::from(account.share);
         self.insert(key, account);
     }
 
-    /// The workspace waits no longer.
-    pub fn unlist(&mut self, key: K, account: &mut Account) {
-        if let Some(place) = account.listed.take() {
-            self.raise_floor();
-            self.waiting.remove(&(place, key));
-            self.weight -= u64::from(account.share);
+    /// Removes the workspace if it is queued.
+    pub fn dequeue(&mut self, key: K, account: &mut Account) {
+        if let Some(tags) = account.queued.take() {
+            self.advance_floor();
+            self.waiting.remove(&(tags, key));
+            self.queued_share -= u64::from(account.share);
         }
     }
 
-    /// Gives the workspace another share, from now on.
+    /// Changes the share of the workspace from now on.
     pub fn set_share(&mut self, key: K, account: &mut Account, share: u32) {
-        let listed = account.is_listed();
-        self.unlist(key, account);
+        let queued = account.is_queued();
+        self.dequeue(key, account);
         account.share = share.clamp(1, MAX_SHARE);
-        if listed {
-            self.list(key, account, account.head);
+        if queued {
+            self.enqueue(key, account, account.next_cost);
         }
     }
 
-    /// Holds the expected cost of a job that starts against its workspace.
-    pub fn hold(&mut self, key: K, account: &mut Account, cost: u64) {
-        account.ahead += cost;
-        self.relist(key, account);
+    /// Reserves the expected cost of a job that starts.
+    pub fn reserve(&mut self, key: K, account: &mut Account, cost: u64) {
+        account.reserved += cost;
+        self.requeue(key, account);
     }
 
-    /// Lets go of cost that was held.
+    /// Releases reserved cost.
     pub fn release(&mut self, key: K, account: &mut Account, cost: u64) {
-        account.ahead = account.ahead.saturating_sub(cost);
-        self.relist(key, account);
+        account.reserved = account.reserved.saturating_sub(cost);
+        self.requeue(key, account);
     }
 
-    /// Charges cost that came. `held` of it had been held, and is released.
-    pub fn charge(&mut self, key: K, account: &mut Account, cost: u64, held: u64) {
-        account.given += cost;
-        account.ahead = account.ahead.saturating_sub(held);
+    /// Charges cost and releases `released` of the reservation.
+    pub fn charge(&mut self, key: K, account: &mut Account, cost: u64, released: u64) {
+        account.served += cost;
+        account.reserved = account.reserved.saturating_sub(released);
         if self.is_contended() {
-            account.level = account.level.saturating_add(account.levels(cost));
+            account.virtual_time = account
+                .virtual_time
+                .saturating_add(account.to_virtual(cost));
         }
-        // The place stays as it is where all of the cost had been held, which saves the reordering
-        // at nearly each token.
-        if cost != held {
-            self.relist(key, account);
+        // If all of the cost was reserved the tags do not change, so nearly every token avoids a
+        // reordering.
+        if cost != released {
+            self.requeue(key, account);
         }
     }
 
-    /// Charges work that the workspace got on other agents.
-    pub fn charge_elsewhere(&mut self, key: K, account: &mut Account, cost: u64) {
-        let limit = self.floor.saturating_add(account.levels(self.debt_limit));
-        let level = account.level.saturating_add(account.levels(cost));
-        account.level = level.min(limit.max(account.level));
-        self.relist(key, account);
+    /// Charges work that other agents did for the workspace.
+    pub fn charge_remote(&mut self, key: K, account: &mut Account, cost: u64) {
+        let limit = self
+            .floor
+            .saturating_add(account.to_virtual(self.debt_limit));
+        let virtual_time = account
+            .virtual_time
+            .saturating_add(account.to_virtual(cost));
+        account.virtual_time = virtual_time.min(limit.max(account.virtual_time));
+        self.requeue(key, account);
     }
 
-    /// The cost by which a workspace is over the floor, or under it.
+    /// The cost by which a workspace is above the floor, negative if below.
     pub fn lead(&self, account: &Account) -> i64 {
         let share = i128::from(account.share);
-        let levels = i128::from(account.begin()) - i128::from(self.floor);
-        i64::try_from(levels * share / i128::from(SCALE)).unwrap_or(i64::MAX)
+        let difference = i128::from(account.start_tag()) - i128::from(self.floor);
+        i64::try_from(difference * share / i128::from(SCALE)).unwrap_or(i64::MAX)
     }
 
-    /// Whether forgetting the account would give the workspace nothing.
-    pub fn is_settled(&self, account: &Account) -> bool {
-        !account.is_listed() && account.ahead == 0 && account.level <= self.floor
+    /// Whether the account can be dropped without giving the workspace credit.
+    pub fn can_discard(&self, account: &Account) -> bool {
+        !account.is_queued() && account.reserved == 0 && account.virtual_time <= self.floor
     }
 
-    /// The floor is where the next job begins. It must not wait for one that asks for less than its
-    /// share and is served at once each time: the others' levels would run away from it.
-    fn raise_floor(&mut self) {
+    /// Advances the floor to the start tag of the next job. It must not wait for a workspace that
+    /// asks for less than its share and is always served at once: the virtual times of the others
+    /// would grow far above it.
+    fn advance_floor(&mut self) {
         if let Some(&(next, _)) = self.waiting.first() {
-            self.floor = self.floor.max(next.begin);
+            self.floor = self.floor.max(next.start);
         }
     }
 
     fn insert(&mut self, key: K, account: &mut Account) {
-        let place = account.place();
-        account.listed = Some(place);
-        self.waiting.insert((place, key));
+        let tags = account.tags();
+        account.queued = Some(tags);
+        self.waiting.insert((tags, key));
     }
 
-    fn relist(&mut self, key: K, account: &mut Account) {
-        let Some(place) = account.listed else { return };
-        if place != account.place() {
-            self.waiting.remove(&(place, key));
+    fn requeue(&mut self, key: K, account: &mut Account) {
+        let Some(tags) = account.queued else { return };
+        if tags != account.tags() {
+            self.waiting.remove(&(tags, key));
             self.insert(key, account);
-            self.raise_floor();
+            self.advance_floor();
         }
     }
 }
--- a/lib/src/standstill.rs
+++ b/lib/src/standstill.rs
@@ -1,68 +1,74 @@
-//! Whether a process has just stood still, and may act on what it knows again.
+//! Detects that the process was frozen, and tells when it may trust its state again.
 //!
-//! Fault pattern: a host freezes for seconds and wakes. What its processes know is of before: keys have been
-//! revoked, servers have left, others have taken its part. To them no time has passed, and requests that came
-//! meanwhile are the first thing they see. Served by what was known, a caller whose key was revoked seconds ago
-//! is let in, after all other hosts have long refused it.
+//! Fault pattern: a host freezes for seconds and resumes. The state of its processes dates from
+//! before the freeze: since then keys have been revoked, servers have left and other processes have
+//! taken over. For the process no time has elapsed, and the first thing it sees are the requests
+//! that arrived meanwhile. If it served them from its old state, it would admit a caller whose key
+//! was revoked seconds ago, long after all other hosts refuse it.
 //!
-//! So the process notes at intervals that it runs. Where that is too long ago it has stood still, and is unsure
-//! until somebody else has told it what holds now. Datagrams that came while it stood still wait in its socket
-//! and say nothing: they are read within a moment, and only what comes later counts. Where nobody answers it
-//! goes on after a while by what it knows, as it would without having stood still.
+//! So the process reports at regular intervals that it runs. After a longer gap it was frozen, and
+//! its state is unconfirmed until another process sends current state. Datagrams that arrived
+//! during the freeze still wait in its sockets and confirm nothing: they are read within a moment
+//! after the process resumes, and only later ones count. If no other process answers, the process
+//! trusts its state again after a timeout, as it does without a freeze.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// A process that did not note for so long that it runs has stood still: three times the interval at which
-/// it does.
-const STOOD_STILL: Duration = Duration::from_millis(1_200);
+/// A gap of this length between two heartbeats counts as a freeze: three heartbeat intervals.
+const FREEZE_THRESHOLD: Duration = Duration::from_millis(1_200);
 
-/// How long after waking what is heard may have waited in the process's sockets.
-const STALE: Duration = Duration::from_millis(60);
+/// For this long after a freeze, received messages may have been buffered in sockets during it.
+const STALE_MESSAGE_TIME: Duration = Duration::from_millis(60);
 
-/// After this the process goes on by what it knows. Others are heard several times a second.
-const UNSURE: Duration = Duration::from_millis(800);
+/// The process trusts its state again after this time even if no other process confirmed it. Other
+/// processes send several messages a second.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Whether a process has stood still.
+/// Detects freezes of this process from gaps between heartbeats.
 #[derive(Debug)]
 pub struct Standstill {
-    // When the process last noted that it runs.
-    seen: Time,
-    // When it woke, until it has heard what holds now.
-    woke: Option<Time>,
+    // The last heartbeat.
+    last_heartbeat: Time,
+    // When the process resumed; none once its state is confirmed.
+    resumed_at: Option<Time>,
 }
 
 impl Standstill {
-    /// A process that begins now, and knows nothing that could be old.
+    /// Creates a detector for a process that starts now and has no state that could be outdated.
     pub fn new(now: Time) -> Self {
         Standstill {
-            seen: now,
-            woke: None,
+            last_heartbeat: now,
+            resumed_at: None,
         }
     }
 
-    /// The process runs; for how long it stood still, where it has just woken.
+    /// Records a heartbeat. Returns the length of the freeze if there was one since the last
+    /// heartbeat.
     pub fn runs(&mut self, now: Time) -> Option<Duration> {
-        let passed = now.since(self.seen);
-        self.seen = now;
-        if passed < STOOD_STILL {
+        let elapsed = now.since(self.last_heartbeat);
+        self.last_heartbeat = now;
+        if elapsed < FREEZE_THRESHOLD {
             return None;
         }
-        self.woke = Some(now);
-        Some(passed)
+        self.resumed_at = Some(now);
+        Some(elapsed)
     }
 
-    /// Somebody has told what holds now, and the process knows no less.
+    /// Another process sent current state, and this process has applied it.
     pub fn told(&mut self, now: Time) {
-        let fresh = self.woke.is_some_and(|woke| now.since(woke) >= STALE);
+        let fresh = self
+            .resumed_at
+            .is_some_and(|resumed_at| now.since(resumed_at) >= STALE_MESSAGE_TIME);
         if fresh {
-            self.woke = None;
+            self.resumed_at = None;
         }
     }
 
-    /// Whether the process may act on what it knows.
+    /// Whether the process may act on its state.
     pub fn is_sure(&self, now: Time) -> bool {
-        self.woke.is_none_or(|woke| now.since(woke) >= UNSURE)
+        self.resumed_at
+            .is_none_or(|resumed_at| now.since(resumed_at) >= CONFIRMATION_TIMEOUT)
     }
 }
--- a/lib/src/starting.rs
+++ b/lib/src/starting.rs
@@ -1,9 +1,9 @@
-//! What a scheduler starts, resumes, displaces and ends, and when.
+//! The scheduler's dispatch: when jobs are started, paused, resumed and aborted.
 
 use std::time::Duration;
 
 use crate::batch::Job;
-use crate::batch::State;
+use crate::batch::JobState;
 use crate::outcome::NotRun;
 use crate::outcome::RefusalReason;
 use crate::scheduler::Action;
@@ -12,38 +12,40 @@
 use crate::scheduler::Scheduler;
 use crate::time::Time;
 
-/// Workspaces whose first job is tried when that of the workspace before does not fit in memory.
-const BACKFILL: usize = 4;
+/// How many workspaces are tried in fair order while the first job of each does not fit in memory.
+const BACKFILL_WORKSPACES: usize = 4;
 
-/// The part of the batch and of the memory that may be lent to workspaces over their share. The rest
-/// is kept for the others: a generation that runs gives its room back only at its end, and whoever
-/// asks for less than its share would wait for that.
-const LENT: f64 = 0.85;
+/// The fraction of the batch and of the memory in which workspaces over their share may start jobs.
+/// The rest is kept free for the others: a generation frees its memory only when it ends, and a
+/// workspace that asks for less than its share would have to wait for that.
+const LENDABLE_FRACTION: f64 = 0.85;
 
-/// A job that does not fit is passed by others for this long. Then room is left for it.
-const BACKFILL_TIME: Duration = Duration::from_secs(2);
+/// For this long, other jobs may start before a job that does not fit. Then none start until it
+/// fits.
+const MAX_BACKFILL_TIME: Duration = Duration::from_secs(2);
 
 impl Scheduler {
-    pub(crate) fn leave_batch(&mut self, key: JobKey, job: &Job) {
+    pub(crate) fn remove_from_batch(&mut self, key: JobKey, job: &Job) {
         let tenant = &mut self.tenants[job.tenant];
-        if matches!(job.state, State::Running | State::Aborted) {
-            tenant.held -= job.size();
+        if matches!(job.state, JobState::Running | JobState::Aborted) {
+            tenant.held_tokens -= job.memory_tokens();
         }
         tenant.running -= 1;
-        self.shares
-            .release(job.tenant, &mut tenant.account, job.held);
+        self.fair_queue
+            .release(job.tenant, &mut tenant.account, job.reserved_cost);
         self.batch.remove(key, job);
-        self.relist(job.tenant);
+        self.update_fair_queue(job.tenant);
     }
 
-    pub(crate) fn next_alarm(&mut self, now: Time) -> Option<Action> {
-        let &(time, key) = self.alarms.first()?;
+    /// Refuses or aborts a job whose timeout has passed.
+    pub(crate) fn next_timeout(&mut self, now: Time) -> Option<Action> {
+        let &(time, key) = self.timeouts.first()?;
         if time > now {
             return None;
         }
-        self.alarms.pop_first();
-        self.jobs[key].alarm = None;
-        if self.jobs[key].state == State::Queued {
+        self.timeouts.pop_first();
+        self.jobs[key].timeout = None;
+        if self.jobs[key].state == JobState::Queued {
             let wait = self.expected_wait(&self.jobs[key]);
             let reason = RefusalReason::DeadlineUnreachable;
             let refusal = NotRun::left_queue(reason, Some(wait.max(DRAIN_RETRY)));
@@ -51,10 +53,10 @@
             return Some(Action::Refuse(key, refusal));
         }
         let job = &mut self.jobs[key];
-        if job.state != State::Running {
-            self.tenants[job.tenant].held += job.size();
+        if job.state != JobState::Running {
+            self.tenants[job.tenant].held_tokens += job.memory_tokens();
         }
-        self.batch.move_to(key, job, State::Aborted);
+        self.batch.move_to(key, job, JobState::Aborted);
         Some(Action::Abort(key))
     }
 
@@ -62,58 +64,66 @@
         let job = &mut self.jobs[key];
         job.pauses += 1;
         self.preemptions += 1;
-        self.tenants[job.tenant].held -= job.size();
-        self.batch.move_to(key, job, State::Paused);
+        self.tenants[job.tenant].held_tokens -= job.memory_tokens();
+        self.batch.move_to(key, job, JobState::Paused);
     }
 
     pub(crate) fn next_resume(&mut self) -> Option<Action> {
         let &key = self.batch.paused.front()?;
-        if self.batch.running() >= self.cap.get()
+        if self.batch.running() >= self.batch_cap.get()
             || !self.batch.fits(&self.jobs, &self.jobs[key], 1.0)
         {
             return None;
         }
         let job = &mut self.jobs[key];
-        self.tenants[job.tenant].held += job.size();
-        self.batch.move_to(key, job, State::Running);
+        self.tenants[job.tenant].held_tokens += job.memory_tokens();
+        self.batch.move_to(key, job, JobState::Running);
         Some(Action::Resume(key))
     }
 
     pub(crate) fn next_start(&mut self, now: Time) -> Option<Action> {
-        if self.batch.has_displaced() || self.batch.open() >= self.cap.get() {
+        if self.batch.has_preempted() || self.batch.in_engine() >= self.batch_cap.get() {
             return None;
         }
         if self.pacer.wait_until(now).is_some() {
             return None;
         }
-        for tenant in self.shares.in_order().take(BACKFILL).collect::<Vec<_>>() {
+        for tenant in self
+            .fair_queue
+            .in_order()
+            .take(BACKFILL_WORKSPACES)
+            .collect::<Vec<_>>()
+        {
             let Some(&(_, key)) = self.tenants[tenant].queue.first() else {
                 continue;
             };
-            let capacity = self.batch.plan.capacity();
-            let over = self.tenants.is_over(tenant, capacity, self.cap.get());
-            if self.has_room(key, if over { LENT } else { 1.0 }) {
+            let capacity = self.batch.memory_plan.capacity();
+            let over_share = self
+                .tenants
+                .is_over_share(tenant, capacity, self.batch_cap.get());
+            if self.has_room(key, if over_share { LENDABLE_FRACTION } else { 1.0 }) {
                 self.start(now, key);
                 return Some(Action::Start(key));
             }
-            if !over && !self.may_pass(now, key) {
+            if !over_share && !self.may_backfill(now, key) {
                 return None;
             }
         }
         None
     }
 
-    /// Whether a job may start within `part` of the batch and of the memory.
-    pub(crate) fn has_room(&mut self, key: JobKey, part: f64) -> bool {
-        let most = self.cap.get() as f64 * part;
-        (self.batch.open() as f64) < most && self.batch.fits(&self.jobs, &self.jobs[key], part)
+    /// Whether a job fits in `fraction` of the batch and of the memory.
+    pub(crate) fn has_room(&mut self, key: JobKey, fraction: f64) -> bool {
+        let most = self.batch_cap.get() as f64 * fraction;
+        (self.batch.in_engine() as f64) < most
+            && self.batch.fits(&self.jobs, &self.jobs[key], fraction)
     }
 
-    /// Whether others may start before a job that does not fit.
-    pub(crate) fn may_pass(&mut self, now: Time, key: JobKey) -> bool {
+    /// Whether other jobs may start before a job that does not fit.
+    pub(crate) fn may_backfill(&mut self, now: Time, key: JobKey) -> bool {
         match self.blocked {
             Some((job, since)) if self.jobs.contains_key(job) => {
-                job != key || now.since(since) < BACKFILL_TIME
+                job != key || now.since(since) < MAX_BACKFILL_TIME
             }
             _ => {
                 self.blocked = Some((key, now));
@@ -127,53 +137,54 @@
             self.blocked = None;
         }
         let job = &mut self.jobs[key];
-        if let Some(alarm) = job.alarm.take() {
-            self.alarms.remove(&(alarm, key));
+        if let Some(timeout) = job.timeout.take() {
+            self.timeouts.remove(&(timeout, key));
         }
         if let Some(deadline) = job.deadline {
-            job.alarm = Some(deadline);
-            self.alarms.insert((deadline, key));
+            job.timeout = Some(deadline);
+            self.timeouts.insert((deadline, key));
         }
-        self.pacer.start(now, job.prompt);
-        self.correction
+        self.pacer.start(now, job.prompt_tokens);
+        self.wait_correction
             .observe(job.expected_wait, now.since(job.arrived));
         let (tenant, due, band, cost) = (job.tenant, job.due, job.band, job.cost);
-        job.held = job.ahead();
-        let held = job.held;
-        let prompt = u64::from(job.prompt);
+        job.reserved_cost = job.cost_to_reserve();
+        let reserved = job.reserved_cost;
+        let prompt = u64::from(job.prompt_tokens);
         self.batch.add(key, job);
         let prompt_cost = self.prompt_cost(prompt as u32);
-        let entry = &mut self.tenants[tenant];
-        entry.queue.remove(&(due, key));
-        entry.bands.take(band, cost);
-        entry.running += 1;
-        entry.held += prompt;
-        self.bands.take(band, cost);
+        let owner = &mut self.tenants[tenant];
+        owner.queue.remove(&(due, key));
+        owner.queued_cost.remove(band, cost);
+        owner.running += 1;
+        owner.held_tokens += prompt;
+        self.queued_cost.remove(band, cost);
         self.queued -= 1;
-        self.shares.hold(tenant, &mut entry.account, held);
-        self.shares
-            .charge(tenant, &mut entry.account, prompt_cost, 0);
-        self.drain.record_completed(prompt_cost);
-        self.relist(tenant);
+        self.fair_queue
+            .reserve(tenant, &mut owner.account, reserved);
+        self.fair_queue
+            .charge(tenant, &mut owner.account, prompt_cost, 0);
+        self.drain_meter.record_completed(prompt_cost);
+        self.update_fair_queue(tenant);
     }
 
-    /// Makes the expectation of a running job anew, and holds what it says.
-    pub(crate) fn check(&mut self, key: JobKey) {
+    /// Estimates the length of a running job anew and adjusts its reservation.
+    pub(crate) fn reestimate(&mut self, key: JobKey) {
         let job = &mut self.jobs[key];
         let tenant = &mut self.tenants[job.tenant];
         job.expected = self
             .lengths
-            .expect(&tenant.name, &job.kind, job.limit, job.produced);
-        job.checked = job.produced;
-        let held = job.ahead();
-        let before = std::mem::replace(&mut job.held, held);
-        if held > before {
-            self.shares
-                .hold(job.tenant, &mut tenant.account, held - before);
+            .expect(&tenant.name, &job.kind, job.max_tokens, job.produced);
+        job.estimated_at = job.produced;
+        let reserved = job.cost_to_reserve();
+        let before = std::mem::replace(&mut job.reserved_cost, reserved);
+        if reserved > before {
+            self.fair_queue
+                .reserve(job.tenant, &mut tenant.account, reserved - before);
         } else {
-            self.shares
-                .release(job.tenant, &mut tenant.account, before - held);
+            self.fair_queue
+                .release(job.tenant, &mut tenant.account, before - reserved);
         }
-        self.changed = true;
+        self.may_start = true;
     }
 }
--- a/lib/tests/scheduler_properties.rs
+++ b/lib/tests/scheduler_properties.rs
@@ -15,9 +15,9 @@
 use cicada_lib::scheduler::SchedulerSettings;
 use cicada_lib::scheduler::WorkspacePolicy;
 use cicada_lib::shares::Account;
-use cicada_lib::shares::CREDIT;
-use cicada_lib::shares::Shares;
-use cicada_lib::shares::TOKEN;
+use cicada_lib::shares::FairQueue;
+use cicada_lib::shares::MAX_CREDIT;
+use cicada_lib::shares::TOKEN_COST;
 use cicada_lib::time::Time;
 use quickcheck::TestResult;
 use quickcheck::quickcheck;
@@ -155,33 +155,33 @@
     // However work is charged, a workspace that begins to wait is behind by its credit at most, and
     // work elsewhere puts it ahead by the limit at most.
     fn counters_do_not_run_away(events: Vec<(u8, u8, u16)>) -> bool {
-        const DEBT: u64 = 1_000 * TOKEN;
-        let mut shares = Shares::new(DEBT);
+        const DEBT: u64 = 1_000 * TOKEN_COST;
+        let mut shares = FairQueue::new(DEBT);
         let mut accounts: Vec<Account> = (1..=4).map(Account::new).collect();
         let mut held = [0; 4];
         events.iter().all(|&(key, event, cost)| {
             let key = usize::from(key % 4);
             let share = u64::from(accounts[key].share());
-            let cost = u64::from(cost) * TOKEN / 100;
+            let cost = u64::from(cost) * TOKEN_COST / 100;
             let account = &mut accounts[key];
-            let was = account.is_listed();
+            let was = account.is_queued();
             let before = shares.lead(account);
             match event % 6 {
-                0 | 1 => shares.list(key, account, cost),
-                2 => shares.unlist(key, account),
+                0 | 1 => shares.enqueue(key, account, cost),
+                2 => shares.dequeue(key, account),
                 3 => {
                     held[key] += cost;
-                    shares.hold(key, account, cost);
+                    shares.reserve(key, account, cost);
                 }
                 4 => {
                     held[key] = held[key].saturating_sub(cost);
                     shares.charge(key, account, cost, cost);
                 }
-                _ => shares.charge_elsewhere(key, account, cost * 100),
+                _ => shares.charge_remote(key, account, cost * 100),
             }
             let lead = shares.lead(&accounts[key]);
             match event % 6 {
-                0 | 1 => was || lead >= -((CREDIT * share + share) as i64),
+                0 | 1 => was || lead >= -((MAX_CREDIT * share + share) as i64),
                 5 => lead <= before.max((DEBT + held[key] + share) as i64),
                 _ => true,
             }
--- a/lib/tests/standstill.rs
+++ b/lib/tests/standstill.rs
@@ -1,4 +1,4 @@
-//! What a process that has stood still may act on.
+//! Freeze detection, and confirmation of state after a freeze.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
     Time::from_millis(ms)
 }
 
-/// A process that is merely slow for half a second has not stood still.
+/// A delay of half a second is not a freeze.
 #[test]
-fn who_runs_on_is_sure() {
+fn short_delays_are_not_a_freeze() {
     let mut standstill = Standstill::new(millis(0));
     for time in [400, 800, 1_300, 1_700] {
         assert_eq!(standstill.runs(millis(time)), None);
@@ -19,13 +19,13 @@
     }
 }
 
-/// A host freezes for three seconds. What waited in the sockets meanwhile is heard first, and does not count; what
-/// others say then does.
+/// A host freezes for three seconds. Messages buffered in the sockets meanwhile are received first
+/// and do not confirm the state; later ones do.
 #[test]
-fn who_wakes_is_sure_when_others_have_told_what_holds() {
+fn state_is_confirmed_by_messages_sent_after_the_freeze() {
     let mut standstill = Standstill::new(millis(0));
-    let stood = standstill.runs(millis(3_000));
-    assert_eq!(stood, Some(Duration::from_secs(3)));
+    let frozen = standstill.runs(millis(3_000));
+    assert_eq!(frozen, Some(Duration::from_secs(3)));
     assert!(!standstill.is_sure(millis(3_000)));
     standstill.told(millis(3_005));
     assert!(!standstill.is_sure(millis(3_010)));
@@ -34,18 +34,19 @@
     assert!(standstill.is_sure(millis(3_150)));
 }
 
-/// Nobody answers: the process goes on by what it knows, as all do while the directory is away.
+/// No other process answers: the process trusts its state again, as all do while the directory is
+/// unavailable.
 #[test]
-fn who_hears_nobody_goes_on() {
+fn state_is_trusted_again_after_the_timeout() {
     let mut standstill = Standstill::new(millis(0));
     standstill.runs(millis(3_000));
     assert!(!standstill.is_sure(millis(3_500)));
     assert!(standstill.is_sure(millis(4_000)));
 }
 
-/// It freezes again before it has heard anybody.
+/// The process freezes again before its state was confirmed.
 #[test]
-fn who_wakes_twice_is_unsure_twice() {
+fn a_second_freeze_restarts_the_timeout() {
     let mut standstill = Standstill::new(millis(0));
     standstill.runs(millis(3_000));
     standstill.runs(millis(6_000));
