--- a/lib/tests/burst/mod.rs
+++ b/lib/tests/burst/mod.rs
@@ -1,8 +1,10 @@
-//! Engines, entries and callers in simulated time: the load of a burst, on the decisions as they are.
+//! Discrete-event simulation of a burst of requests on engines and entries, with the real decision
+//! modules of the entries.
 //!
-//! An engine does one step at a time: it reads a piece of the most urgent prompt, and makes a token for each
-//! run that has begun. When its memory is full it displaces the newest of its least urgent runs, whose
-//! prompt is then read again. Entries hear of engines through their scouts' reports, late.
+//! An engine executes one step at a time: it prefills a chunk of the most urgent prompt and
+//! produces a token of each run that has been prefilled. When its memory is full it preempts the
+//! newest of its least urgent runs, whose prompt is then prefilled again. Entries learn the load of
+//! engines from reports that arrive with a delay.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -32,22 +34,22 @@
 
 const CAPACITY: u64 = 34_000;
 const SLOTS: u32 = 64;
-/// Tokens of a prompt that are read in a step.
-const CHUNK: u64 = 112;
-/// The times of a step, in microseconds: by itself, for each run, and for a piece of a prompt.
-const STEP: u64 = 7_000;
-const STEP_RUN: u64 = 120;
-const STEP_READ: u64 = 8_000;
+/// Tokens of a prompt that are prefilled in a step.
+const PREFILL_CHUNK: u64 = 112;
+/// Duration of a step in microseconds: fixed, per producing run, and for a chunk of a prompt.
+const STEP_MICROS: u64 = 7_000;
+const STEP_RUN_MICROS: u64 = 120;
+const STEP_PREFILL_MICROS: u64 = 8_000;
 
 const ENGINES: usize = 8;
 const ENTRIES: usize = 4;
-/// How long reports and words are on their way, in milliseconds.
-const WAY: u64 = 30;
-/// The burst, in milliseconds from the beginning, and when the last caller has been heard.
+/// Delay of load reports and messages between entries, in milliseconds.
+const MESSAGE_DELAY: u64 = 30;
+/// The time of the burst, and the end of the simulation, in milliseconds from its start.
 const BURST: std::ops::Range<u64> = 5_000..25_000;
 const END: u64 = 60_000;
 
-/// A kind of request: how many come a second at the usual load, and what they ask.
+/// A kind of request: its rate per second at the usual load, its size and its objectives.
 #[derive(Clone, Copy)]
 pub(crate) struct Kind {
     pub(crate) priority: u32,
@@ -59,7 +61,7 @@
     pub(crate) worth: f64,
 }
 
-/// Short questions, and long drafts that are less urgent and worth nine times as much.
+/// Urgent short requests, and less urgent long ones that are worth nine times as much.
 pub(crate) const KINDS: [Kind; 2] = [
     Kind {
         priority: 0,
@@ -81,21 +83,21 @@
     },
 ];
 
-/// What became of the callers of a kind that first asked during the burst.
+/// Results of the callers of one kind whose first request was sent during the burst.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Tally {
     pub(crate) asked: f64,
     pub(crate) in_time: f64,
-    // Served without having been turned away before, and in time.
+    // Served at the first attempt, and those of them in time.
     pub(crate) fresh: f64,
     pub(crate) fresh_in_time: f64,
-    // Of those whose requests are the largest tenth.
+    // Requests among the largest tenth by prompt length, and those of them that were served.
     pub(crate) large: f64,
     pub(crate) large_served: f64,
     pub(crate) served: f64,
 }
 
-/// What a burst brought.
+/// The result of a simulated burst.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) kinds: [Tally; 2],
@@ -103,7 +105,7 @@
 }
 
 impl Outcome {
-    /// What callers got that were served in time.
+    /// The total worth of the requests served in time.
     pub(crate) fn worth(&self) -> f64 {
         let kinds = self.kinds.iter().zip(KINDS);
         kinds.map(|(tally, kind)| tally.in_time * kind.worth).sum()
@@ -114,11 +116,11 @@
 struct Caller {
     kind: usize,
     number: u64,
-    first: u64,
+    sent_at: u64,
     prompt: u64,
     output: u64,
-    again: bool,
-    // Of the largest tenth.
+    is_retry: bool,
+    // Whether the prompt is among the largest tenth.
     large: bool,
     in_burst: bool,
     workspace: Name,
@@ -130,15 +132,15 @@
     entry: usize,
     key: ServerKey,
     expected: u64,
-    // Tokens of the prompt that are still to be read, and tokens made.
+    // Tokens of the prompt that are not prefilled yet, and tokens produced.
     unread: u64,
-    made: u64,
-    told: bool,
+    produced: u64,
+    first_token_sent: bool,
 }
 
 impl Run {
-    fn held(&self) -> u64 {
-        self.caller.prompt - self.unread + self.made
+    fn held_tokens(&self) -> u64 {
+        self.caller.prompt - self.unread + self.produced
     }
 }
 
@@ -146,38 +148,39 @@
 struct Engine {
     runs: Vec<Run>,
     load_tracker: EngineLoadTracker,
-    // When the present step ends, in microseconds.
-    busy: u64,
+    // When the current step ends, in microseconds.
+    step_ends_at: u64,
 }
 
 struct Entry {
     fleet: Fleet,
     comebacks: RetryPacer,
     returns: RecentRejections,
-    used: WorkspaceUse,
+    usage: WorkspaceUse,
 }
 
 enum Event {
-    Ask(usize, Caller),
-    Heard(usize, usize, EngineLoad),
+    Request(usize, Caller),
+    LoadReport(usize, usize, EngineLoad),
     Sent(usize, SentWord),
 }
 
-/// The world.
-pub(crate) struct World {
+/// The state of the simulation.
+pub(crate) struct Simulation {
     rng: fastrand::Rng,
-    // Draws workspaces, so that requests are the same whoever sends them.
-    owners: fastrand::Rng,
+    // Separate generator for workspaces, so that requests are the same with and without a greedy
+    // one.
+    workspace_rng: fastrand::Rng,
     now: u64,
     engines: Vec<Engine>,
     entries: Vec<Entry>,
-    // By time; later ones behind.
+    // Ordered by time.
     events: VecDeque<(u64, Event)>,
     refuses: bool,
-    greedy: bool,
-    shares: bool,
+    has_greedy: bool,
+    enforce_shares: bool,
     outcome: Outcome,
-    names: u64,
+    run_count: u64,
 }
 
 fn address(engine: usize) -> SocketAddr {
@@ -209,44 +212,44 @@
         fleet,
         comebacks: RetryPacer::new(),
         returns: RecentRejections::new(),
-        used: WorkspaceUse::new(),
+        usage: WorkspaceUse::new(),
     }
 }
 
-/// Plays a burst of `load` times the usual rate. Where the entries do not refuse, they send every request
-/// to the best engine.
+/// Simulates a burst at `load` times the usual rate. With `refuses` unset, the entries admit every
+/// request and send it to the best engine.
 pub(crate) fn play(load: f64, seed: u64, refuses: bool) -> Outcome {
-    World::new(seed, refuses).run(load)
+    Simulation::new(seed, refuses).run(load)
 }
 
-/// The same where one of ten workspaces sends as much as all others; those are tallied alone. Shares are kept
-/// or not.
+/// Like [`play`], with one of ten workspaces sending as many requests as all others together. Only
+/// the others are tallied. `shares` tells whether entries enforce shares.
 pub(crate) fn play_greedy(load: f64, seed: u64, shares: bool) -> Outcome {
-    let mut world = World::new(seed, true);
-    world.greedy = true;
-    world.shares = shares;
-    world.run(load)
+    let mut simulation = Simulation::new(seed, true);
+    simulation.has_greedy = true;
+    simulation.enforce_shares = shares;
+    simulation.run(load)
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, refuses: bool) -> Self {
-        World {
+        Simulation {
             rng: fastrand::Rng::with_seed(seed),
-            owners: fastrand::Rng::with_seed(seed),
+            workspace_rng: fastrand::Rng::with_seed(seed),
             now: 0,
             engines: (0..ENGINES).map(|_| Engine::default()).collect(),
             entries: (0..ENTRIES).map(|_| entry()).collect(),
             events: VecDeque::new(),
             refuses,
-            greedy: false,
-            shares: true,
+            has_greedy: false,
+            enforce_shares: true,
             outcome: Outcome::default(),
-            names: 0,
+            run_count: 0,
         }
     }
 
     fn run(mut self, load: f64) -> Outcome {
-        self.callers(load);
+        self.generate_callers(load);
         while self.now < END {
             self.now += 1;
             self.step();
@@ -254,46 +257,50 @@
         self.outcome
     }
 
-    fn callers(&mut self, load: f64) {
-        let mut asks = Vec::new();
-        for (kind, figures) in KINDS.iter().enumerate() {
+    fn generate_callers(&mut self, load: f64) {
+        let mut requests = Vec::new();
+        for (kind, parameters) in KINDS.iter().enumerate() {
             let mut at = 0.0;
             while at < BURST.end as f64 + 5_000.0 {
                 let burst = BURST.contains(&(at as u64));
-                let rate = figures.rate * if burst { load } else { 1.0 };
+                let rate = parameters.rate * if burst { load } else { 1.0 };
                 at -= self.rng.f64().max(1e-9).ln() / rate * 1_000.0;
                 let size = self.rng.f64();
                 let caller = Caller {
                     kind,
-                    number: asks.len() as u64,
-                    first: at as u64,
-                    prompt: (figures.prompt as f64 * (0.5 + size)) as u64,
-                    // Lengths that nobody knows: half of them shorter than half of the mean.
-                    output: 1 + (-self.rng.f64().max(1e-9).ln() * figures.output as f64) as u64,
-                    again: false,
+                    number: requests.len() as u64,
+                    sent_at: at as u64,
+                    prompt: (parameters.prompt as f64 * (0.5 + size)) as u64,
+                    // Exponentially distributed, so lengths are hard to predict.
+                    output: 1 + (-self.rng.f64().max(1e-9).ln() * parameters.output as f64) as u64,
+                    is_retry: false,
                     large: size > 0.9,
                     in_burst: BURST.contains(&(at as u64)),
                     workspace: self.workspace(),
                 };
                 let entry = self.rng.usize(..ENTRIES);
-                asks.push((at as u64, Event::Ask(entry, caller)));
+                requests.push((at as u64, Event::Request(entry, caller)));
             }
         }
-        asks.sort_by_key(|(at, _)| *at);
-        self.events = asks.into();
+        requests.sort_by_key(|(at, _)| *at);
+        self.events = requests.into();
     }
 
-    /// One of ten workspaces; the first has as many callers as all others where it is greedy.
+    /// Draws one of ten workspaces. A greedy first one gets half of all callers.
     fn workspace(&mut self) -> Name {
-        let greedy = self.greedy && self.owners.bool();
-        let number = if greedy { 0 } else { self.owners.usize(1..10) };
+        let greedy = self.has_greedy && self.workspace_rng.bool();
+        let number = if greedy {
+            0
+        } else {
+            self.workspace_rng.usize(1..10)
+        };
         Name::new(format!("w-{number}"))
     }
 
-    fn later(&mut self, after: u64, event: Event) {
+    fn schedule(&mut self, after: u64, event: Event) {
         let at = self.now + after;
-        let place = self.events.partition_point(|(other, _)| *other <= at);
-        self.events.insert(place, (at, event));
+        let index = self.events.partition_point(|(other, _)| *other <= at);
+        self.events.insert(index, (at, event));
     }
 
     fn step(&mut self) {
@@ -302,98 +309,98 @@
                 break;
             };
             match event {
-                Event::Ask(entry, caller) => self.ask(entry, caller),
-                Event::Heard(entry, engine, load) => {
+                Event::Request(entry, caller) => self.handle_request(entry, caller),
+                Event::LoadReport(entry, engine, load) => {
                     let now = Time::from_millis(self.now);
                     self.entries[entry].fleet.report(now, &here(engine), &load);
                 }
-                Event::Sent(entry, word) => {
+                Event::Sent(entry, message) => {
                     let now = Time::from_millis(self.now);
                     let fleet = &mut self.entries[entry].fleet;
-                    fleet.started_elsewhere(now, word.engine, word.prompt, word.tokens);
+                    fleet.started_elsewhere(now, message.engine, message.prompt, message.tokens);
                 }
             }
         }
         for engine in 0..ENGINES {
-            while self.engines[engine].busy <= self.now * 1_000 {
+            while self.engines[engine].step_ends_at <= self.now * 1_000 {
                 self.engine_step(engine);
             }
             if (self.now + engine as u64).is_multiple_of(30) {
-                self.tell(engine);
+                self.send_load_reports(engine);
             }
         }
         if self.now.is_multiple_of(100) {
-            self.tell_returns();
+            self.exchange_returns();
         }
     }
 
-    fn ask(&mut self, entry: usize, caller: Caller) {
+    fn handle_request(&mut self, entry: usize, caller: Caller) {
         let kind = KINDS[caller.kind];
         let now = Time::from_millis(self.now);
-        if self.tallies(&caller) && !caller.again {
+        if self.is_tallied(&caller) && !caller.is_retry {
             let tally = &mut self.outcome.kinds[caller.kind];
             tally.asked += 1.0;
             tally.large += f64::from(u8::from(caller.large));
         }
         let service = Name::new("llm");
-        // Estimates of callers are right for half of the runs.
-        let guess = caller.output as f64 * (self.rng.f64() * 2.0 - 1.0).exp();
-        let need = Need::new(&service, caller.prompt, caller.prompt + guess as u64);
+        // Callers' length estimates are wrong by a factor of up to e in both directions.
+        let estimate = caller.output as f64 * (self.rng.f64() * 2.0 - 1.0).exp();
+        let need = Need::new(&service, caller.prompt, caller.prompt + estimate as u64);
         let at = &mut self.entries[entry];
         let asking = AdmissionRequest {
             rank: kind.priority,
             age: at.returns.take(now, caller.number),
-            over_share: self.shares && at.used.is_over(now, &caller.workspace),
+            over_share: self.enforce_shares && at.usage.is_over(now, &caller.workspace),
             objective: kind.objective,
         };
-        let placed = match self.refuses {
+        let chosen = match self.refuses {
             true => stream_admission::select_engine(&at.fleet, now, &need, &spec(), &asking).ok(),
             false => at.fleet.choose(now, &need, &spec()).ok(),
         };
-        let Some(key) = placed else {
+        let Some(key) = chosen else {
             self.refuse(entry, caller, &asking);
             return;
         };
         at.comebacks.record_admission(now, &service, kind.priority);
-        at.used.taken(now, &caller.workspace, need.tokens);
+        at.usage.taken(now, &caller.workspace, need.tokens);
         at.fleet.started(now, key, &need);
         let engine = at.fleet.record(key).expect("chosen").address;
-        self.names += 1;
-        let word = SentWord {
-            id: Name::new(format!("r-{}", self.names)),
+        self.run_count += 1;
+        let message = SentWord {
+            id: Name::new(format!("r-{}", self.run_count)),
             engine,
             prompt: need.prompt,
             tokens: need.tokens,
         };
         let expected = need.tokens;
         for other in (0..ENTRIES).filter(|other| *other != entry) {
-            self.later(WAY, Event::Sent(other, word.clone()));
+            self.schedule(MESSAGE_DELAY, Event::Sent(other, message.clone()));
         }
         let SocketAddr::V4(address) = engine else {
             return;
         };
         let engine = &mut self.engines[usize::from(address.ip().octets()[3])];
-        engine.load_tracker.record_sent(now, &word);
+        engine.load_tracker.record_sent(now, &message);
         engine.runs.push(Run {
-            id: word.id,
+            id: message.id,
             unread: caller.prompt,
             caller,
             entry,
             key,
             expected,
-            made: 0,
-            told: false,
+            produced: 0,
+            first_token_sent: false,
         });
     }
 
-    fn tallies(&self, caller: &Caller) -> bool {
-        caller.in_burst && !(self.greedy && caller.workspace.as_str() == "w-0")
+    fn is_tallied(&self, caller: &Caller) -> bool {
+        caller.in_burst && !(self.has_greedy && caller.workspace.as_str() == "w-0")
     }
 
     fn refuse(&mut self, entry: usize, caller: Caller, asking: &AdmissionRequest) {
         let now = Time::from_millis(self.now);
         let kind = KINDS[caller.kind];
-        let passed = Duration::from_millis(self.now - caller.first);
+        let passed = Duration::from_millis(self.now - caller.sent_at);
         let left = kind.limit.saturating_sub(passed);
         let spread = self.rng.f64();
         let at = &mut self.entries[entry];
@@ -402,30 +409,30 @@
             .comebacks
             .retry_delay(now, &service, asking, left, spread);
         at.returns.record(now, caller.number, asking.age, pause);
-        if caller.again {
+        if caller.is_retry {
             return;
         }
         let other = self.rng.usize(..ENTRIES);
         let back = Caller {
-            again: true,
+            is_retry: true,
             ..caller
         };
-        self.later(pause.as_millis() as u64, Event::Ask(other, back));
+        self.schedule(pause.as_millis() as u64, Event::Request(other, back));
     }
 
-    fn tell(&mut self, engine: usize) {
+    fn send_load_reports(&mut self, engine: usize) {
         let now = Time::from_millis(self.now);
         let at = &mut self.engines[engine];
-        let begun = at.runs.iter().filter(|run| run.told);
+        let begun = at.runs.iter().filter(|run| run.first_token_sent);
         let runs: Vec<EngineRun> = begun
             .map(|run| EngineRun {
                 id: run.id.clone(),
-                tokens: run.held(),
-                events: run.made / 4,
+                tokens: run.held_tokens(),
+                events: run.produced / 4,
                 rank: move_plan::rank(KINDS[run.caller.kind].priority, run.caller.output < 64),
             })
             .collect();
-        let used = at.runs.iter().map(Run::held).sum();
+        let used = at.runs.iter().map(Run::held_tokens).sum();
         let report = EngineReport {
             running: at.runs.len() as u32,
             reading: (at.runs.len() - runs.len()) as u32,
@@ -447,11 +454,14 @@
             ..EngineLoad::default()
         };
         for entry in 0..ENTRIES {
-            self.later(WAY, Event::Heard(entry, engine, load.clone()));
+            self.schedule(
+                MESSAGE_DELAY,
+                Event::LoadReport(entry, engine, load.clone()),
+            );
         }
     }
 
-    fn tell_returns(&mut self) {
+    fn exchange_returns(&mut self) {
         let now = Time::from_millis(self.now);
         for entry in 0..ENTRIES {
             let told = self.entries[entry].returns.take_unsent(now);
@@ -462,46 +472,46 @@
     }
 
     fn engine_step(&mut self, engine: usize) {
-        self.displace(engine);
+        self.preempt_over_capacity(engine);
         let at = &mut self.engines[engine];
         let waiting = at.runs.iter_mut().filter(|run| run.unread > 0);
-        let next = waiting.min_by_key(|run| (KINDS[run.caller.kind].priority, run.caller.first));
-        let mut time = STEP;
+        let next = waiting.min_by_key(|run| (KINDS[run.caller.kind].priority, run.caller.sent_at));
+        let mut time = STEP_MICROS;
         if let Some(run) = next {
-            run.unread -= run.unread.min(CHUNK);
-            time += STEP_READ;
+            run.unread -= run.unread.min(PREFILL_CHUNK);
+            time += STEP_PREFILL_MICROS;
         }
-        let mut ended = Vec::new();
-        for (place, run) in at.runs.iter_mut().enumerate() {
+        let mut finished = Vec::new();
+        for (index, run) in at.runs.iter_mut().enumerate() {
             if run.unread > 0 {
                 continue;
             }
-            run.made += 1;
-            time += STEP_RUN;
-            if !run.told {
-                run.told = true;
-                first(&mut self.outcome, run, self.now, self.greedy);
+            run.produced += 1;
+            time += STEP_RUN_MICROS;
+            if !run.first_token_sent {
+                run.first_token_sent = true;
+                record_first_token(&mut self.outcome, run, self.now, self.has_greedy);
                 self.entries[run.entry]
                     .fleet
                     .began(run.key, run.caller.prompt);
             }
-            if run.made >= run.caller.output {
-                ended.push(place);
+            if run.produced >= run.caller.output {
+                finished.push(index);
             }
         }
-        for place in ended.into_iter().rev() {
-            let run = at.runs.remove(place);
+        for index in finished.into_iter().rev() {
+            let run = at.runs.remove(index);
             self.entries[run.entry].fleet.ended(run.key, run.expected);
         }
-        at.busy += time;
+        at.step_ends_at += time;
     }
 
-    fn displace(&mut self, engine: usize) {
+    fn preempt_over_capacity(&mut self, engine: usize) {
         let at = &mut self.engines[engine];
-        while at.runs.iter().map(Run::held).sum::<u64>() > CAPACITY {
+        while at.runs.iter().map(Run::held_tokens).sum::<u64>() > CAPACITY {
             let victim = at.runs.iter_mut().filter(|run| run.unread == 0);
             let victim =
-                victim.max_by_key(|run| (KINDS[run.caller.kind].priority, run.caller.first));
+                victim.max_by_key(|run| (KINDS[run.caller.kind].priority, run.caller.sent_at));
             let Some(victim) = victim else {
                 return;
             };
@@ -511,19 +521,19 @@
     }
 }
 
-/// A caller sees its first event.
-fn first(outcome: &mut Outcome, run: &Run, now: u64, greedy: bool) {
+/// Records that a caller received its first token.
+fn record_first_token(outcome: &mut Outcome, run: &Run, now: u64, greedy: bool) {
     let caller = &run.caller;
     if !caller.in_burst || (greedy && caller.workspace.as_str() == "w-0") {
         return;
     }
     let tally = &mut outcome.kinds[caller.kind];
-    let waited = now - caller.first;
+    let waited = now - caller.sent_at;
     let in_time = waited <= KINDS[caller.kind].objective.as_millis() as u64;
     tally.served += 1.0;
     tally.large_served += f64::from(u8::from(caller.large));
     tally.in_time += f64::from(u8::from(in_time));
-    if !caller.again {
+    if !caller.is_retry {
         tally.fresh += 1.0;
         tally.fresh_in_time += f64::from(u8::from(in_time));
     }
--- a/lib/tests/scheduler.rs
+++ b/lib/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler's interface as the daemon uses it.
+//! Tests of the scheduler's interface as used by the daemon.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn starts_up_to_the_batch() {
+fn starts_jobs_up_to_the_batch_size() {
     let mut scheduler = scheduler(1);
     let first = scheduler.offer(Time::ZERO, job("a")).unwrap();
     let second = scheduler.offer(Time::ZERO, job("a")).unwrap();
@@ -47,8 +47,8 @@
     assert_eq!(scheduler.next(Time::from_millis(5)), None);
 }
 
-// The caller's deadline passes while its job runs. It must be told once, then, and the job must
-// hold no place afterwards.
+// A deadline passes while the job runs. The job must be aborted exactly once, at the deadline, and
+// free its slot when it has ended.
 #[test]
 fn aborts_once_past_the_deadline() {
     let mut scheduler = scheduler(1);
@@ -69,10 +69,10 @@
     assert_eq!(scheduler.summary(Time::from_millis(101)).running, 0);
 }
 
-// The process leaves. Each waiting caller must get the proof that its request did not run, and
-// what runs must be left alone.
+// The process drains. Each queued request must be refused with proof that it did not run, and
+// running jobs must not be affected.
 #[test]
-fn drain_gives_back_only_what_waits() {
+fn drain_refuses_only_queued_jobs() {
     let mut scheduler = scheduler(1);
     let running = scheduler.offer(Time::ZERO, job("a")).unwrap();
     let waiting = scheduler.offer(Time::ZERO, job("b")).unwrap();
@@ -86,7 +86,7 @@
     assert_eq!(scheduler.summary(Time::ZERO).running, 1);
 }
 
-fn report(capacity_tokens: u64) -> EngineLoad {
+fn engine_report(capacity_tokens: u64) -> EngineLoad {
     EngineLoad {
         running: 0,
         waiting: 0,
@@ -101,12 +101,12 @@
     }
 }
 
-// The agent starts before its engine has said how much memory it has. From the first report on, no
-// more may be started than fits.
+// The agent starts before its engine has reported its memory capacity. From the first report on,
+// only jobs that fit may start.
 #[test]
-fn plans_with_the_capacity_that_the_engine_reports() {
+fn memory_plan_uses_the_capacity_reported_by_the_engine() {
     let mut scheduler = scheduler(8);
-    scheduler.engine_load(Time::ZERO, &report(1_500));
+    scheduler.engine_load(Time::ZERO, &engine_report(1_500));
     let mut large = job("a");
     large.prompt_tokens = 1_000;
     let first = scheduler.offer(Time::ZERO, large.clone()).unwrap();
@@ -116,12 +116,12 @@
     assert_eq!(scheduler.summary(Time::ZERO).free_tokens, 500);
 }
 
-// A token is on its way while the order to displace its generation goes out. The account of the
-// memory must come out even when the generation has run again and ended.
+// A token is in flight when its generation is paused. Memory accounting must be balanced after the
+// generation has resumed and ended.
 #[test]
-fn token_that_crosses_a_pause_is_counted() {
+fn token_in_flight_during_a_pause_is_counted() {
     let mut scheduler = scheduler(8);
-    scheduler.engine_load(Time::ZERO, &report(2_000));
+    scheduler.engine_load(Time::ZERO, &engine_report(2_000));
     let mut spec = job("a");
     spec.prompt_tokens = 900;
     let keys = [spec.clone(), spec].map(|spec| scheduler.offer(Time::ZERO, spec).unwrap());
@@ -145,14 +145,15 @@
     assert_eq!(scheduler.next(now), Some(Action::Resume(paused)));
     scheduler.token(now, paused);
     scheduler.finished(now, paused);
-    // Both prompts at a tenth, a token for each step of both, and two of the one displaced.
+    // Both prompts at a tenth of their tokens, a token of each job for each step, and two more of
+    // the paused job.
     assert_eq!(
         scheduler.service_given(&Name::new("a")),
         180 + 2 * steps + 2
     );
-    let load = scheduler.summary(now);
+    let summary = scheduler.summary(now);
     assert_eq!(
-        (load.free_tokens, load.running, load.preemptions),
+        (summary.free_tokens, summary.running, summary.preemptions),
         (2_000, 0, 1)
     );
 }
--- a/lib/tests/scheduler_load.rs
+++ b/lib/tests/scheduler_load.rs
@@ -1,4 +1,4 @@
-//! Load patterns on one engine, judged by what callers receive.
+//! Load patterns on one simulated engine, measured by what callers receive.
 
 mod fake_engine;
 
@@ -21,7 +21,7 @@
 use fake_engine::report::quantile;
 use fake_engine::report::stalls;
 
-// Requests a second that the fake engines can serve to the end, from the trial's reference.
+// Requests per second that the fake engines can complete, from the trial's reference run.
 const HANSHAN_RATE: f64 = 5.4;
 const SECONDS: u64 = 200;
 
@@ -58,68 +58,72 @@
     request.length > 256
 }
 
-// Callers see long silences while one partner's batch job sends 300 drafts at once. The queue may
-// take what is served within the bound; the rest must be told at once, and the others' short
-// checks must go on as before.
+// One workspace sends 300 long jobs at once, and the callers of all workspaces see long stalls. The
+// queue may admit what can be served within the wait bound; the rest must be refused at once, and
+// short jobs of other workspaces must not be affected.
 #[test]
-fn burst_is_refused_early_and_leaves_others_alone() {
+fn burst_is_refused_early_and_does_not_affect_others() {
     let mix = hanshan();
     let mut requests = mix.requests(0.5 * HANSHAN_RATE, SECONDS as f64, 1);
-    let mut draft = requests
+    let mut long_job = requests
         .iter()
         .find(|request| is_long(request))
         .unwrap()
         .clone();
-    draft.arrival = Time::from_millis(100_000);
-    draft.workspace = Name::new("batch");
-    draft.deadline = None;
-    requests.extend(vec![draft; 300]);
+    long_job.arrival = Time::from_millis(100_000);
+    long_job.workspace = Name::new("batch");
+    long_job.deadline = None;
+    requests.extend(vec![long_job; 300]);
     let trial = run(&mix, scheduled(&mix, LatencyObjective::Stall), requests);
-    let burst = |request: &Request| &*request.workspace.to_string() == "batch";
+    let is_burst = |request: &Request| &*request.workspace.to_string() == "batch";
     let pairs = || trial.requests.iter().zip(&trial.received);
-    let refused = pairs().filter(|(r, got)| burst(r) && got.refusal.is_some());
+    let refused = pairs().filter(|(r, got)| is_burst(r) && got.refusal.is_some());
     assert!(refused.clone().all(|(_, got)| got.stall.is_zero()));
     let refused = refused.count();
     assert!((100..300).contains(&refused), "{refused} refused");
     assert!(
         pairs()
-            .filter(|(r, _)| burst(r))
+            .filter(|(r, _)| is_burst(r))
             .all(|(_, got)| got.complete || got.refusal.is_some())
     );
-    let stall = p99(&trial, |request| !burst(request) && !is_long(request));
+    let stall = p99(&trial, |request| !is_burst(request) && !is_long(request));
     assert!(stall < 8.0, "{stall}");
 }
 
-// A partner's retry loop sends ten times its usual load. A well-behaved partner beside it must not
-// wait behind it: a tenth of what it would wait first come, first served.
+// A retry loop sends ten times the usual load of a workspace. The stalls of another workspace must
+// stay below a tenth of those under first come, first served.
 #[test]
-fn hot_workspace_does_not_stall_a_quiet_one() {
+fn overloading_workspace_does_not_stall_others() {
     let mix = hanshan();
-    let usual = mix.requests(0.6 * HANSHAN_RATE, SECONDS as f64, 2);
-    let mut hot = usual.clone();
+    let baseline = mix.requests(0.6 * HANSHAN_RATE, SECONDS as f64, 2);
+    let mut overload = baseline.clone();
     let extra = mix.requests(10.0 * 0.6 * HANSHAN_RATE, SECONDS as f64, 3);
-    hot.extend(
+    overload.extend(
         extra
             .into_iter()
             .filter(|request| &*request.workspace.to_string() == "w1"),
     );
-    let quiet = |request: &Request| &*request.workspace.to_string() != "w1";
+    let is_other = |request: &Request| &*request.workspace.to_string() != "w1";
     let without = p99(
-        &run(&mix, scheduled(&mix, LatencyObjective::Stall), usual),
-        quiet,
+        &run(&mix, scheduled(&mix, LatencyObjective::Stall), baseline),
+        is_other,
     );
     let with = p99(
-        &run(&mix, scheduled(&mix, LatencyObjective::Stall), hot.clone()),
-        quiet,
+        &run(
+            &mix,
+            scheduled(&mix, LatencyObjective::Stall),
+            overload.clone(),
+        ),
+        is_other,
     );
-    let fifo = p99(&run(&mix, Front::Direct, hot), quiet);
+    let fifo = p99(&run(&mix, Front::Direct, overload), is_other);
     assert!(with < fifo / 10.0, "{without} {with} {fifo}");
 }
 
-// A parent waits on the line for a check of a date while long drafts fill the engine. First come,
-// first served puts each check behind the drafts; shortest first would never serve a draft.
+// Short jobs arrive while long ones fill the engine. First come, first served queues each short job
+// behind the long ones; shortest first would never serve a long one.
 #[test]
-fn short_pass_long_and_long_are_not_starved() {
+fn short_jobs_overtake_long_ones_without_starving_them() {
     let mix = hanshan();
     let requests = mix.requests(2.0 * HANSHAN_RATE, SECONDS as f64, 4);
     let trial = run(
@@ -128,47 +132,47 @@
         requests.clone(),
     );
     let fifo = run(&mix, Front::Direct, requests);
-    let done = |trial: &Trial, long: bool| {
+    let completed = |trial: &Trial, long: bool| {
         let pairs = trial.requests.iter().zip(&trial.received);
         let of = pairs.filter(|(request, _)| is_long(request) == long);
-        let (done, all) = of.fold((0.0, 0.0), |(done, all), (_, got)| {
-            (done + f64::from(u8::from(got.complete)), all + 1.0)
+        let (completed, total) = of.fold((0.0, 0.0), |(completed, total), (_, got)| {
+            (completed + f64::from(u8::from(got.complete)), total + 1.0)
         });
-        done / all
+        completed / total
     };
-    let (short, long) = (done(&trial, false), done(&trial, true));
+    let (short, long) = (completed(&trial, false), completed(&trial, true));
     assert!(
-        short > done(&fifo, false) + 0.2,
+        short > completed(&fifo, false) + 0.2,
         "{short} {}",
-        done(&fifo, false)
+        completed(&fifo, false)
     );
     assert!(short > 0.6, "{short}");
     assert!(long > 0.3, "{long}");
     assert!(p99(&trial, is_long) < 30.0, "{}", p99(&trial, is_long));
 }
 
-// Everybody books for the same feast day, for as long as it takes. Without limits each answer comes
-// after its caller has gone; with them the engine goes on to finish what it starts.
+// Sustained overload, such as bookings for a holiday. Without limits each answer arrives after its
+// caller has given up; with them the engine completes the jobs that it starts.
 #[test]
 fn goodput_holds_under_overload() {
     let mix = hanshan();
-    let at = |load: f64, front: Front| {
+    let figures_at = |load: f64, front: Front| {
         let requests = mix.requests(load * HANSHAN_RATE, SECONDS as f64 + 100.0, 5);
         let trial = run(&mix, front, requests);
         figures(&mix, &trial)
     };
-    let usual = at(1.0, scheduled(&mix, LatencyObjective::Stall)).goodput;
+    let baseline = figures_at(1.0, scheduled(&mix, LatencyObjective::Stall)).goodput;
     for load in [1.5, 3.0, 10.0] {
-        let figures = at(load, scheduled(&mix, LatencyObjective::Stall));
-        assert!(figures.goodput > 0.95 * usual, "{load}: {figures:?}");
+        let figures = figures_at(load, scheduled(&mix, LatencyObjective::Stall));
+        assert!(figures.goodput > 0.95 * baseline, "{load}: {figures:?}");
         assert!(figures.preemptions < 100.0, "{load}: {figures:?}");
     }
-    let fifo = at(10.0, Front::Direct).goodput;
-    assert!(fifo < 0.5 * usual, "{fifo}");
+    let fifo = figures_at(10.0, Front::Direct).goodput;
+    assert!(fifo < 0.5 * baseline, "{fifo}");
 }
 
-// A new release of the model writes four times as much. What was learned is wrong from one moment
-// to the next; the plan must follow within a few minutes, and not let the engine thrash.
+// A new release of the model produces four times longer output, so learned lengths are suddenly
+// wrong. The memory plan must adapt within a few minutes and keep the engine from thrashing.
 #[test]
 fn memory_plan_follows_a_drift_of_lengths() {
     let mix = hanshan();
@@ -191,10 +195,10 @@
     );
 }
 
-// The memory fills up in the midst of decoding. The engine would displace its latest starts again
-// and again; the scheduler displaces first, and nobody more than twice.
+// Memory fills up during decoding. The engine would preempt the most recently started jobs again
+// and again; the scheduler preempts first, and each job at most twice.
 #[test]
-fn nobody_is_displaced_more_often_than_stated() {
+fn preemptions_per_job_are_bounded() {
     let mut mix = hanshan();
     mix.engine.capacity = 12_000;
     let requests = mix.requests(HANSHAN_RATE, SECONDS as f64, 7);
@@ -213,10 +217,10 @@
     assert!(trial.preemptions * 5 < fifo.preemptions);
 }
 
-// A refused caller comes back when it was told to. If all were told the same moment, or a moment
-// too early, most would be refused again and again.
+// A refused caller retries at the time that it was told. If all were told the same time, or a time
+// that is too early, most would be refused again and again.
 #[test]
-fn retry_after_is_true_most_of_the_time() {
+fn most_retries_at_the_promised_time_are_admitted() {
     let mix = hanshan();
     for load in [1.2, 1.5] {
         let mut requests = mix.requests(load * HANSHAN_RATE, SECONDS as f64, 8);
@@ -232,8 +236,8 @@
     }
 }
 
-// A caller's deadline cannot be met. It is told so at once and not at its deadline, so that it can
-// still go elsewhere.
+// A deadline cannot be met. The caller must be refused at once and not when the deadline passes, so
+// that it can still go elsewhere.
 #[test]
 fn unreachable_deadline_is_refused_at_once() {
     let mix = hanshan();
@@ -253,8 +257,8 @@
     assert_eq!(late.count(), 0);
 }
 
-// Many summaries are asked for in the same second. Read in at once they hold up every stream for
-// as long as it takes.
+// Many long prompts arrive in the same second. If they were prefilled at once, every stream would
+// stall for as long as that takes.
 #[test]
 fn gap_first_paces_a_burst_of_prompts() {
     let mix = saryarka();
@@ -268,13 +272,16 @@
     long.prompt = 1_000;
     requests.extend(vec![long; 30]);
     let burst = Time::from_millis(100_000);
-    let worst = |objective| {
+    let longest_stall = |objective| {
         let trial = run(&mix, scheduled(&mix, objective), requests.clone());
         let pairs = trial.requests.iter().zip(&trial.received);
         let ran = pairs.filter(|(r, got)| r.arrival < burst && got.ended > Some(burst));
-        let smooth = ran.filter(|(_, got)| got.preemptions == 0);
-        smooth.map(|(_, got)| got.stall).max().unwrap()
+        let not_preempted = ran.filter(|(_, got)| got.preemptions == 0);
+        not_preempted.map(|(_, got)| got.stall).max().unwrap()
     };
-    let (stall, gap) = (worst(LatencyObjective::Stall), worst(LatencyObjective::Gap));
+    let (stall, gap) = (
+        longest_stall(LatencyObjective::Stall),
+        longest_stall(LatencyObjective::Gap),
+    );
     assert!(gap * 3 < stall, "{gap:?} {stall:?}");
 }
--- a/lib/tests/scheduler_properties.rs
+++ b/lib/tests/scheduler_properties.rs
@@ -1,4 +1,4 @@
-//! What holds for any arrivals, shares and lengths.
+//! Properties of the scheduler under arbitrary arrivals, shares and lengths.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -24,23 +24,23 @@
 
 const STEP: Duration = Duration::from_millis(20);
 
-/// A batch in which each running job gets a token a step.
-struct Slots {
+/// Simulates an engine that produces a token of each running job in each step.
+struct Simulation {
     scheduler: Scheduler,
     now: Time,
     lengths: HashMap<JobKey, u32>,
     running: Vec<(JobKey, u32)>,
-    /// How long each job waited for its start.
+    /// Time from arrival to start of each started job.
     waits: HashMap<JobKey, Duration>,
     arrivals: HashMap<JobKey, Time>,
     owners: HashMap<JobKey, Name>,
-    waiting: HashMap<Name, u32>,
+    queued_jobs: HashMap<Name, u32>,
 }
 
-impl Slots {
+impl Simulation {
     fn new(max_batch: u32) -> Self {
         let settings = SchedulerSettings::new(LatencyObjective::Stall, 0, max_batch);
-        Slots {
+        Simulation {
             scheduler: Scheduler::new(settings.with_max_wait(Duration::from_secs(600))),
             now: Time::ZERO,
             lengths: HashMap::new(),
@@ -48,11 +48,11 @@
             waits: HashMap::new(),
             arrivals: HashMap::new(),
             owners: HashMap::new(),
-            waiting: HashMap::new(),
+            queued_jobs: HashMap::new(),
         }
     }
 
-    fn share(&mut self, workspace: &str, share: u32) {
+    fn set_share(&mut self, workspace: &str, share: u32) {
         let policy = WorkspacePolicy {
             share,
             ..WorkspacePolicy::default()
@@ -74,13 +74,13 @@
         self.lengths.insert(key, length.max(1));
         self.arrivals.insert(key, self.now);
         self.owners.insert(key, Name::new(workspace));
-        *self.waiting.entry(Name::new(workspace)).or_default() += 1;
+        *self.queued_jobs.entry(Name::new(workspace)).or_default() += 1;
         Some(key)
     }
 
-    /// Keeps forty jobs of the workspace waiting.
-    fn feed(&mut self, workspace: &str, mut length: impl FnMut() -> u32) {
-        while self.waiting.get(workspace).copied().unwrap_or_default() < 40 {
+    /// Offers jobs until forty of the workspace are queued.
+    fn keep_backlogged(&mut self, workspace: &str, mut length: impl FnMut() -> u32) {
+        while self.queued_jobs.get(workspace).copied().unwrap_or_default() < 40 {
             if self.offer(workspace, length(), 0).is_none() {
                 return;
             }
@@ -92,7 +92,7 @@
             if let Action::Start(key) = action {
                 self.waits.insert(key, self.now.since(self.arrivals[&key]));
                 self.running.push((key, self.lengths[&key]));
-                *self.waiting.get_mut(&self.owners[&key]).unwrap() -= 1;
+                *self.queued_jobs.get_mut(&self.owners[&key]).unwrap() -= 1;
             }
         }
         self.now = self.now + STEP;
@@ -106,57 +106,58 @@
         self.running.retain(|(_, left)| *left > 0);
     }
 
-    fn given(&self, workspace: &str) -> f64 {
+    fn served(&self, workspace: &str) -> f64 {
         self.scheduler.service_given(&Name::new(workspace)) as f64
     }
 }
 
 quickcheck! {
-    // Every accepted job starts, and none of them later than the work that was there, and came
-    // within the bound on being overtaken, takes.
-    fn nobody_starves(arrivals: Vec<(u8, u8, u8)>) -> bool {
-        let mut slots = Slots::new(2);
+    // Every admitted job starts, and none later than it takes to serve the work that was queued
+    // before it or arrived within the bound on being overtaken.
+    fn every_admitted_job_starts(arrivals: Vec<(u8, u8, u8)>) -> bool {
+        let mut simulation = Simulation::new(2);
         let mut work = 0;
         for &(workspace, length, steps) in &arrivals {
             let length = u32::from(length) + 1;
-            slots.offer(&format!("w{}", workspace % 5), length, u64::from(steps) * 10);
+            simulation.offer(&format!("w{}", workspace % 5), length, u64::from(steps) * 10);
             work += u64::from(length);
             for _ in 0..steps % 8 {
-                slots.step();
+                simulation.step();
             }
         }
         for _ in 0..=work {
-            slots.step();
+            simulation.step();
         }
-        slots.waits.len() == slots.lengths.len() && slots.running.is_empty()
+        simulation.waits.len() == simulation.lengths.len() && simulation.running.is_empty()
     }
 
-    // Two workspaces that keep waiting get what their shares say, but for a few jobs.
+    // Two workspaces that stay backlogged are served in proportion to their shares, up to a few
+    // jobs.
     fn shares_hold(a: u8, b: u8, lengths: Vec<u8>) -> TestResult {
         let (a, b) = (u32::from(a % 8) + 1, u32::from(b % 8) + 1);
         if lengths.is_empty() {
             return TestResult::discard();
         }
-        let mut slots = Slots::new(16);
-        slots.share("a", a);
-        slots.share("b", b);
+        let mut simulation = Simulation::new(16);
+        simulation.set_share("a", a);
+        simulation.set_share("b", b);
         let mut lengths = lengths.iter().cycle().map(|&length| u32::from(length) + 1);
         for _ in 0..4_000 {
-            slots.feed("a", || lengths.next().unwrap());
-            slots.feed("b", || lengths.next().unwrap());
-            slots.step();
+            simulation.keep_backlogged("a", || lengths.next().unwrap());
+            simulation.keep_backlogged("b", || lengths.next().unwrap());
+            simulation.step();
         }
-        let (x, y) = (slots.given("a") / f64::from(a), slots.given("b") / f64::from(b));
-        // Sixteen slots hold jobs of up to 256 tokens, whose lengths are not known.
+        let (x, y) = (simulation.served("a") / f64::from(a), simulation.served("b") / f64::from(b));
+        // Each of sixteen slots holds a job of up to 256 tokens whose length is unknown.
         let bound = 16.0 * 256.0 / f64::from(a.min(b));
         TestResult::from_bool((x - y).abs() <= bound)
     }
 
-    // However work is charged, a workspace that begins to wait is behind by its credit at most, and
-    // work elsewhere puts it ahead by the limit at most.
-    fn counters_do_not_run_away(events: Vec<(u8, u8, u16)>) -> bool {
+    // Whatever is charged, a workspace that starts to wait is behind the floor by at most its
+    // credit, and remote work puts it above the floor by at most the debt limit.
+    fn credit_and_debt_are_bounded(events: Vec<(u8, u8, u16)>) -> bool {
         const DEBT: u64 = 1_000 * TOKEN_COST;
-        let mut shares = FairQueue::new(DEBT);
+        let mut queue = FairQueue::new(DEBT);
         let mut accounts: Vec<Account> = (1..=4).map(Account::new).collect();
         let mut held = [0; 4];
         events.iter().all(|&(key, event, cost)| {
@@ -164,31 +165,31 @@
             let share = u64::from(accounts[key].share());
             let cost = u64::from(cost) * TOKEN_COST / 100;
             let account = &mut accounts[key];
-            let was = account.is_queued();
-            let before = shares.lead(account);
+            let was_queued = account.is_queued();
+            let before = queue.lead(account);
             match event % 6 {
-                0 | 1 => shares.enqueue(key, account, cost),
-                2 => shares.dequeue(key, account),
+                0 | 1 => queue.enqueue(key, account, cost),
+                2 => queue.dequeue(key, account),
                 3 => {
                     held[key] += cost;
-                    shares.reserve(key, account, cost);
+                    queue.reserve(key, account, cost);
                 }
                 4 => {
                     held[key] = held[key].saturating_sub(cost);
-                    shares.charge(key, account, cost, cost);
+                    queue.charge(key, account, cost, cost);
                 }
-                _ => shares.charge_remote(key, account, cost * 100),
+                _ => queue.charge_remote(key, account, cost * 100),
             }
-            let lead = shares.lead(&accounts[key]);
+            let lead = queue.lead(&accounts[key]);
             match event % 6 {
-                0 | 1 => was || lead >= -((MAX_CREDIT * share + share) as i64),
+                0 | 1 => was_queued || lead >= -((MAX_CREDIT * share + share) as i64),
                 5 => lead <= before.max((DEBT + held[key] + share) as i64),
                 _ => true,
             }
         })
     }
 
-    // With true lengths, what the plan lets run together never outgrows the memory.
+    // If lengths are known, the jobs that the plan admits never exceed the memory.
     fn plan_stays_within_memory(jobs: Vec<(u8, u8)>) -> bool {
         const CAPACITY: u64 = 600;
         let plan = MemoryPlan::new(CAPACITY, Headroom::Expected(0.0), 2);
@@ -217,112 +218,118 @@
     }
 }
 
-// A partner's long draft waits while another sends short checks without end. It must start within
-// the stated bound on being overtaken, and the time of the jobs before it.
+// A long job waits while short jobs arrive continuously. It must start within the bound on being
+// overtaken plus the time of the jobs before it.
 #[test]
-fn long_job_starts_beside_endless_short_ones() {
-    let mut slots = Slots::new(1);
-    // The lengths become known: short checks of one kind, and drafts, are told apart by the limit.
-    let long = slots.offer("a", 400, 0).unwrap();
+fn long_job_starts_under_continuous_short_jobs() {
+    let mut simulation = Simulation::new(1);
+    // Lengths are learned; short and long jobs of one kind are distinguished by their token limit.
+    let long = simulation.offer("a", 400, 0).unwrap();
     for _ in 0..10 {
-        slots.offer("a", 5, 0);
+        simulation.offer("a", 5, 0);
     }
     for _ in 0..4_000 {
-        if slots.scheduler.summary(slots.now).queued < 10 {
-            slots.offer("a", 5, 0);
+        if simulation.scheduler.summary(simulation.now).queued < 10 {
+            simulation.offer("a", 5, 0);
         }
-        slots.step();
+        simulation.step();
     }
     assert!(
-        slots.waits[&long] < Duration::from_secs(20),
+        simulation.waits[&long] < Duration::from_secs(20),
         "{:?}",
-        slots.waits[&long]
+        simulation.waits[&long]
     );
 }
 
-// A workspace was idle for long while others waited. When it comes back it must not push the others
-// aside for a burst of its own.
+// A workspace was idle for long while others were backlogged. When it returns, it must not displace
+// the others with a burst.
 #[test]
-fn returner_does_not_burst() {
-    let mut slots = Slots::new(4);
-    slots.offer("b", 20, 0);
+fn returning_workspace_has_no_credit_for_a_burst() {
+    let mut simulation = Simulation::new(4);
+    simulation.offer("b", 20, 0);
     for _ in 0..2_000 {
-        slots.feed("a", || 20);
-        slots.step();
+        simulation.keep_backlogged("a", || 20);
+        simulation.step();
     }
-    let (a, b) = (slots.given("a"), slots.given("b"));
+    let (a, b) = (simulation.served("a"), simulation.served("b"));
     for _ in 0..200 {
-        slots.feed("a", || 20);
-        slots.feed("b", || 20);
-        slots.step();
+        simulation.keep_backlogged("a", || 20);
+        simulation.keep_backlogged("b", || 20);
+        simulation.step();
     }
-    let (a, b) = (slots.given("a") - a, slots.given("b") - b);
+    let (a, b) = (simulation.served("a") - a, simulation.served("b") - b);
     assert!(b < 1.5 * a, "{a} {b}");
     assert!(a < 1.5 * b, "{a} {b}");
 }
 
-// One workspace works on two agents, another on one of them only. With nothing told between the
-// agents the first gets three quarters of the whole; with the work got elsewhere on each request it
-// gets little more than the half that it must have on the agent where it is alone.
+// One workspace uses two agents, another only one of them. If requests report no remote work, the
+// first gets three quarters of the total; if they do, it gets little more than the half that it has
+// anyway on the agent where it is alone.
 #[test]
 fn work_elsewhere_counts() {
-    let part = |told: bool| {
-        let (mut here, mut there) = (Slots::new(4), Slots::new(4));
-        let mut seen = 0.0;
+    let served_fraction = |reported: bool| {
+        let (mut here, mut there) = (Simulation::new(4), Simulation::new(4));
+        let mut already_reported = 0.0;
         for _ in 0..4_000 {
-            if here.waiting.get("a").copied().unwrap_or_default() < 10 {
-                let elsewhere = there.given("a") - seen;
-                seen += elsewhere;
-                here.offer("a", 20, if told { elsewhere as u64 } else { 0 });
+            if here.queued_jobs.get("a").copied().unwrap_or_default() < 10 {
+                let elsewhere = there.served("a") - already_reported;
+                already_reported += elsewhere;
+                here.offer("a", 20, if reported { elsewhere as u64 } else { 0 });
             }
-            here.feed("b", || 20);
-            there.feed("a", || 20);
+            here.keep_backlogged("b", || 20);
+            there.keep_backlogged("a", || 20);
             here.step();
             there.step();
         }
-        let a = here.given("a") + there.given("a");
-        a / (a + here.given("b"))
+        let a = here.served("a") + there.served("a");
+        a / (a + here.served("b"))
     };
-    let (apart, told) = (part(false), part(true));
-    assert!((0.7..0.8).contains(&apart), "{apart}");
-    assert!((0.45..0.6).contains(&told), "{told}");
+    let (unreported, reported) = (served_fraction(false), served_fraction(true));
+    assert!((0.7..0.8).contains(&unreported), "{unreported}");
+    assert!((0.45..0.6).contains(&reported), "{reported}");
 }
 
-// 20,000 workspaces come once each. State must not grow with all that ever came.
+// 20,000 workspaces send one request each. State must not grow with the number of workspaces ever
+// seen.
 #[test]
-fn idle_workspaces_are_forgotten() {
-    let mut slots = Slots::new(64);
+fn idle_workspaces_are_evicted() {
+    let mut simulation = Simulation::new(64);
     for index in 0..20_000 {
-        slots.offer(&format!("w{index}"), 1, 0);
-        slots.step();
+        simulation.offer(&format!("w{index}"), 1, 0);
+        simulation.step();
     }
-    // Some 3,000 come within the time for which idle ones are kept.
+    // Some 3,000 arrive within the retention time of idle workspaces.
     assert!(
-        slots.scheduler.workspaces() < 4_000,
+        simulation.scheduler.workspaces() < 4_000,
         "{}",
-        slots.scheduler.workspaces()
+        simulation.scheduler.workspaces()
     );
 }
 
-// Two workspaces come at once to an empty engine. Nothing has been charged before the first token;
-// still neither may take all the slots with its whole burst.
+// Two workspaces send bursts to an empty engine at once. Nothing is charged before the first token,
+// but neither burst may take all slots.
 #[test]
 fn slots_are_shared_before_the_first_token() {
-    let mut slots = Slots::new(16);
-    // Both have been seen, so that lengths are known.
+    let mut simulation = Simulation::new(16);
+    // Run a job of each, so that lengths are learned.
     for name in ["a", "b"] {
-        slots.offer(name, 50, 0);
+        simulation.offer(name, 50, 0);
     }
     for _ in 0..60 {
-        slots.step();
+        simulation.step();
     }
-    slots.feed("a", || 50);
-    slots.feed("b", || 50);
-    slots.step();
-    let of = |name: &str| {
+    simulation.keep_backlogged("a", || 50);
+    simulation.keep_backlogged("b", || 50);
+    simulation.step();
+    let running_of = |name: &str| {
         let name = Name::new(name);
-        let owned = |(key, _): &&(JobKey, u32)| slots.owners[key] == name;
-        slots.running.iter().filter(owned).count()
+        let is_owned = |(key, _): &&(JobKey, u32)| simulation.owners[key] == name;
+        simulation.running.iter().filter(is_owned).count()
     };
-    assert!((7..=9).contains(&of("a")), "{} {}", of("a"), of("b"));
+    assert!(
+        (7..=9).contains(&running_of("a")),
+        "{} {}",
+        running_of("a"),
+        running_of("b")
+    );
 }
--- a/lib/tests/scheduling_parts.rs
+++ b/lib/tests/scheduling_parts.rs
@@ -1,4 +1,4 @@
-//! The parts of a scheduler, each by itself.
+//! Unit tests of the scheduler's components.
 
 use std::time::Duration;
 
@@ -16,29 +16,29 @@
 use cicada_lib::time::Time;
 
 #[test]
-fn cold_start_is_filled_up_from_the_kind() {
+fn unknown_workspace_uses_lengths_of_the_kind() {
     let (kind, mut lengths) = (Name::new("model"), Lengths::new());
     let cold = lengths.expect(&Name::new("new"), &kind, 1_000, 0);
     assert!((50.0..400.0).contains(&cold.mean), "{cold:?}");
     for _ in 0..50 {
         lengths.observe(&Name::new("other"), &kind, 1_000, 30);
     }
-    let filled = lengths.expect(&Name::new("new"), &kind, 1_000, 0);
-    assert!((25.0..70.0).contains(&filled.mean), "{filled:?}");
+    let from_kind = lengths.expect(&Name::new("new"), &kind, 1_000, 0);
+    assert!((25.0..70.0).contains(&from_kind.mean), "{from_kind:?}");
     for _ in 0..50 {
         lengths.observe(&Name::new("new"), &kind, 1_000, 600);
     }
     let own = lengths.expect(&Name::new("new"), &kind, 1_000, 0);
     assert!(own.mean > 400.0, "{own:?}");
-    // Past all that was seen, something is still to come, up to the limit.
-    let late = lengths.expect(&Name::new("new"), &kind, 1_000, 900);
-    assert!(late.mean >= 1.0 && late.mean <= 100.0, "{late:?}");
+    // Beyond all observed lengths, the estimate stays between one token and the limit.
+    let beyond = lengths.expect(&Name::new("new"), &kind, 1_000, 900);
+    assert!(beyond.mean >= 1.0 && beyond.mean <= 100.0, "{beyond:?}");
 }
 
-// A new release of the model writes ten times as much. Old lengths outweigh the new ones for a long
-// time unless the change itself is noticed.
+// A new release of the model produces ten times longer output. Old lengths outweigh the new ones
+// for a long time unless the change is detected.
 #[test]
-fn drift_is_noticed_within_some_twenty_generations() {
+fn drift_is_detected_within_twenty_generations() {
     let (name, kind, mut lengths) = (Name::new("w"), Name::new("model"), Lengths::new());
     for index in 0..500 {
         lengths.observe(&name, &kind, 1_000, 40 + index % 20);
@@ -51,14 +51,14 @@
 }
 
 #[test]
-fn nobody_is_overtaken_for_longer_than_the_bound() {
+fn overtaking_is_bounded() {
     let long = due(Time::ZERO, Duration::from_secs(3_600));
     assert_eq!(long, Time::ZERO + MAX_DELAY);
     assert!(due(Time::from_millis(1), Duration::ZERO) < long);
 }
 
 #[test]
-fn victim_loses_least_and_was_not_displaced_too_often() {
+fn victim_loses_least_and_is_below_the_preemption_limit() {
     let plan = MemoryPlan::new(100, Headroom::None, 2);
     let candidate = |lost_tokens, preemptions, over_share| VictimCandidate {
         lost_tokens,
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn rate_ceiling_says_when_the_next_may_come() {
+fn rate_limit_tells_when_to_retry() {
     let mut ceiling = RateLimiter::default();
     assert!(ceiling.take(Time::ZERO, 10.0, 2).is_ok());
     assert!(ceiling.take(Time::ZERO, 10.0, 2).is_ok());
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn promises_are_spread_out() {
+fn promised_retry_times_are_spread_out() {
     let mut promises = RetrySchedule::default();
     let (excess, service) = (Duration::from_secs(1), Duration::from_millis(500));
     let mut promise = || promises.schedule(Time::ZERO, excess, service);
@@ -96,10 +96,10 @@
     assert_eq!(promise(), Duration::from_millis(2_500));
 }
 
-// Load steps up so that each gap is over the target, and back. The cap must come down to where the
-// gaps fit, stay there, and not swing between the two.
+// At the full batch each gap exceeds the target. The cap must fall to where gaps meet the target,
+// and stay there without oscillation.
 #[test]
-fn batch_cap_settles_under_a_step_of_load() {
+fn batch_cap_converges_without_oscillation() {
     let target = Duration::from_millis(41);
     let mut cap = BatchCap::new(96, Some(target));
     let mut caps = Vec::new();
@@ -113,15 +113,15 @@
         }
         caps.push(cap.get());
     }
-    let late = &caps[100..];
-    let (least, most) = (late.iter().min().unwrap(), late.iter().max().unwrap());
+    let settled = &caps[100..];
+    let (least, most) = (settled.iter().min().unwrap(), settled.iter().max().unwrap());
     assert!(*most <= 78 && *least >= 66, "{least} to {most}");
 }
 
 #[test]
-fn batch_cap_rests_between_its_marks() {
+fn batch_cap_is_stable_between_its_thresholds() {
     let mut cap = BatchCap::new(96, Some(Duration::from_millis(41)));
-    let judge = |cap: &mut BatchCap, over: u32| {
+    let observe_gaps = |cap: &mut BatchCap, over: u32| {
         let running = cap.get() as u32;
         for index in 0..512 {
             let gap = if index < over { 50 } else { 30 };
@@ -129,15 +129,15 @@
         }
         cap.get()
     };
-    let cut = judge(&mut cap, 512);
-    assert!(cut < 96);
-    // 3 in 100.
-    assert_eq!(judge(&mut cap, 15), cut);
-    assert_eq!(judge(&mut cap, 0), cut + 1);
+    let reduced = observe_gaps(&mut cap, 512);
+    assert!(reduced < 96);
+    // 15 of 512 gaps, 3%, are over the target: between the thresholds for growth and cuts.
+    assert_eq!(observe_gaps(&mut cap, 15), reduced);
+    assert_eq!(observe_gaps(&mut cap, 0), reduced + 1);
 }
 
 #[test]
-fn waits_that_turn_out_longer_raise_the_estimate() {
+fn longer_waits_than_expected_raise_the_estimate() {
     let mut correction = WaitCorrection::default();
     for _ in 0..500 {
         correction.observe(Duration::from_secs(2), Duration::from_secs(5));
