--- a/lib/src/batch.rs
+++ b/lib/src/batch.rs
@@ -5,14 +5,14 @@
 
 use slotmap::SlotMap;
 
+use crate::fair_queue::Account;
+use crate::fair_queue::TOKEN_COST;
 use crate::ids::Name;
 use crate::lengths::Expectation;
 use crate::memory_plan::Footprint;
 use crate::memory_plan::MemoryPlan;
 use crate::memory_plan::VictimCandidate;
 use crate::scheduler::JobKey;
-use crate::shares::Account;
-use crate::shares::TOKEN_COST;
 use crate::tenants::TenantKey;
 use crate::tenants::Tenants;
 use crate::time::Time;
--- a/lib/src/scheduler.rs
+++ b/lib/src/scheduler.rs
@@ -1,6 +1,6 @@
 //! The scheduler of one backend server: which jobs start, wait, are paused or refused.
 //!
-//! Admission is in `waiting`, the choice of the next action in `starting`.
+//! Admission is in `scheduler_admission`, the choice of the next action in `scheduler_dispatch`.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,6 +15,8 @@
 use crate::batch::Job;
 use crate::batch::JobState;
 use crate::batch::TokenGap;
+use crate::fair_queue::FairQueue;
+use crate::fair_queue::TOKEN_COST;
 use crate::ids::Name;
 use crate::latency_objective::BatchCap;
 use crate::latency_objective::PrefillPacer;
@@ -23,8 +25,6 @@
 use crate::memory_plan::MemoryPlan;
 use crate::outcome::NotRun;
 use crate::outcome::RefusalReason;
-use crate::shares::FairQueue;
-use crate::shares::TOKEN_COST;
 use crate::tenants::CostByLength;
 use crate::tenants::TenantKey;
 use crate::tenants::Tenants;
--- a/lib/src/tenants.rs
+++ b/lib/src/tenants.rs
@@ -16,11 +16,11 @@
 
 use crate::admission::RateLimiter;
 use crate::admission::RetrySchedule;
+use crate::fair_queue::Account;
+use crate::fair_queue::FairQueue;
 use crate::ids::Name;
 use crate::scheduler::JobKey;
 use crate::settings::WorkspacePolicy;
-use crate::shares::Account;
-use crate::shares::FairQueue;
 use crate::time::Time;
 
 /// The least time for which an idle workspace is kept. It is longer than any expected wait, so that
--- a/lib/tests/scheduler_properties.rs
+++ b/lib/tests/scheduler_properties.rs
@@ -3,6 +3,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
+use cicada_lib::fair_queue::Account;
+use cicada_lib::fair_queue::FairQueue;
+use cicada_lib::fair_queue::MAX_CREDIT;
+use cicada_lib::fair_queue::TOKEN_COST;
 use cicada_lib::ids::Name;
 use cicada_lib::latency_objective::LatencyObjective;
 use cicada_lib::memory_plan::Footprint;
@@ -14,10 +18,6 @@
 use cicada_lib::scheduler::Scheduler;
 use cicada_lib::scheduler::SchedulerSettings;
 use cicada_lib::scheduler::WorkspacePolicy;
-use cicada_lib::shares::Account;
-use cicada_lib::shares::FairQueue;
-use cicada_lib::shares::MAX_CREDIT;
-use cicada_lib::shares::TOKEN_COST;
 use cicada_lib::time::Time;
 use quickcheck::TestResult;
 use quickcheck::quickcheck;
