--- a/lib/src/standstill.rs
+++ b/lib/src/freeze_detector.rs
@@ -28,17 +28,17 @@
 
 /// Detects freezes of this process from gaps between heartbeats.
 #[derive(Debug)]
-pub struct Standstill {
+pub struct FreezeDetector {
     // The last heartbeat.
     last_heartbeat: Time,
     // When the process resumed; none once its state is confirmed.
     resumed_at: Option<Time>,
 }
 
-impl Standstill {
+impl FreezeDetector {
     /// Creates a detector for a process that starts now and has no state that could be outdated.
     pub fn new(now: Time) -> Self {
-        Standstill {
+        FreezeDetector {
             last_heartbeat: now,
             resumed_at: None,
         }
@@ -46,7 +46,7 @@
 
     /// Records a heartbeat. Returns the length of the freeze if there was one since the last
     /// heartbeat.
-    pub fn runs(&mut self, now: Time) -> Option<Duration> {
+    pub fn heartbeat(&mut self, now: Time) -> Option<Duration> {
         let elapsed = now.since(self.last_heartbeat);
         self.last_heartbeat = now;
         if elapsed < FREEZE_THRESHOLD {
@@ -57,7 +57,7 @@
     }
 
     /// Another process sent current state, and this process has applied it.
-    pub fn told(&mut self, now: Time) {
+    pub fn state_received(&mut self, now: Time) {
         let fresh = self
             .resumed_at
             .is_some_and(|resumed_at| now.since(resumed_at) >= STALE_MESSAGE_TIME);
@@ -67,7 +67,7 @@
     }
 
     /// Whether the process may act on its state.
-    pub fn is_sure(&self, now: Time) -> bool {
+    pub fn is_state_confirmed(&self, now: Time) -> bool {
         self.resumed_at
             .is_none_or(|resumed_at| now.since(resumed_at) >= CONFIRMATION_TIMEOUT)
     }
--- a/lib/src/stream_admission.rs
+++ b/lib/src/stream_admission.rs
@@ -15,7 +15,7 @@
 //!   own prompt is not counted: it takes equally long on every engine, and counting it would make idle
 //!   engines reject long prompts.
 //!
-//! A workspace that has used more than its share leaves room for the others, see [`crate::workspace_use`].
+//! A workspace that has used more than its share leaves room for the others, see [`crate::workspace_usage`].
 //!
 //! A rejected caller that retries in time takes precedence over others of its kind: its objective counts
 //! from its first attempt. One that can no longer be in time only gets what the others leave.
--- a/lib/src/workspace_use.rs
+++ b/lib/src/workspace_usage.rs
@@ -29,7 +29,7 @@
 
 /// Decaying token counts of the workspaces that use one service.
 #[derive(Debug, Default)]
-pub struct WorkspaceUse {
+pub struct WorkspaceUsage {
     // Tokens, decayed up to `decayed_at`.
     taken: HashMap<Name, f64>,
     total: f64,
@@ -37,21 +37,21 @@
     decayed_at: Time,
 }
 
-impl WorkspaceUse {
+impl WorkspaceUsage {
     /// Creates empty counts.
     pub fn new() -> Self {
-        WorkspaceUse::default()
+        WorkspaceUsage::default()
     }
 
     /// Records an admitted request of `tokens` tokens.
-    pub fn taken(&mut self, now: Time, workspace: &Name, tokens: u64) {
+    pub fn record(&mut self, now: Time, workspace: &Name, tokens: u64) {
         self.decay(now);
         *self.taken.entry(workspace.clone()).or_default() += tokens as f64;
         self.total += tokens as f64;
     }
 
     /// Whether the workspace is over its share while at least one other workspace is active.
-    pub fn is_over(&mut self, now: Time, workspace: &Name) -> bool {
+    pub fn is_over_share(&mut self, now: Time, workspace: &Name) -> bool {
         self.decay(now);
         let own = self.taken.get(workspace).copied().unwrap_or_default();
         let others = self.active.saturating_sub(1);
--- a/lib/tests/burst/mod.rs
+++ b/lib/tests/burst/mod.rs
@@ -29,7 +29,7 @@
 use cicada_lib::stream_admission::AdmissionRequest;
 use cicada_lib::stream_admission::RetryPacer;
 use cicada_lib::time::Time;
-use cicada_lib::workspace_use::WorkspaceUse;
+use cicada_lib::workspace_usage::WorkspaceUsage;
 use testutils::site;
 
 const CAPACITY: u64 = 34_000;
@@ -156,7 +156,7 @@
     fleet: Fleet,
     comebacks: RetryPacer,
     returns: RecentRejections,
-    usage: WorkspaceUse,
+    usage: WorkspaceUsage,
 }
 
 enum Event {
@@ -212,7 +212,7 @@
         fleet,
         comebacks: RetryPacer::new(),
         returns: RecentRejections::new(),
-        usage: WorkspaceUse::new(),
+        usage: WorkspaceUsage::new(),
     }
 }
 
@@ -350,7 +350,7 @@
         let asking = AdmissionRequest {
             rank: kind.priority,
             age: at.returns.take(now, caller.number),
-            over_share: self.enforce_shares && at.usage.is_over(now, &caller.workspace),
+            over_share: self.enforce_shares && at.usage.is_over_share(now, &caller.workspace),
             objective: kind.objective,
         };
         let chosen = match self.refuses {
@@ -362,7 +362,7 @@
             return;
         };
         at.comebacks.record_admission(now, &service, kind.priority);
-        at.usage.taken(now, &caller.workspace, need.tokens);
+        at.usage.record(now, &caller.workspace, need.tokens);
         at.fleet.started(now, key, &need);
         let engine = at.fleet.record(key).expect("chosen").address;
         self.run_count += 1;
--- a/lib/tests/workspace_use.rs
+++ b/lib/tests/workspace_usage.rs
@@ -2,7 +2,7 @@
 
 use cicada_lib::ids::Name;
 use cicada_lib::time::Time;
-use cicada_lib::workspace_use::WorkspaceUse;
+use cicada_lib::workspace_usage::WorkspaceUsage;
 
 fn millis(ms: u64) -> Time {
     Time::from_millis(ms)
@@ -12,15 +12,18 @@
 #[test]
 fn only_the_greedy_workspace_is_over_its_share() {
     let names: Vec<Name> = (0..10).map(|n| Name::new(format!("w-{n}"))).collect();
-    let mut usage = WorkspaceUse::new();
+    let mut usage = WorkspaceUsage::new();
     for second in 0..10u64 {
         for (index, name) in names.iter().enumerate() {
             let tokens = if index == 0 { 40_000 } else { 4_000 };
-            usage.taken(millis(second * 1_000), name, tokens);
+            usage.record(millis(second * 1_000), name, tokens);
         }
     }
     let now = millis(10_000);
-    let over_share: Vec<bool> = names.iter().map(|name| usage.is_over(now, name)).collect();
+    let over_share: Vec<bool> = names
+        .iter()
+        .map(|name| usage.is_over_share(now, name))
+        .collect();
     assert!(over_share[0]);
     assert!(over_share[1..].iter().all(|over_share| !over_share));
 }
@@ -29,10 +32,10 @@
 #[test]
 fn a_single_workspace_is_never_over_its_share() {
     let name = Name::new("alone");
-    let mut usage = WorkspaceUse::new();
+    let mut usage = WorkspaceUsage::new();
     for second in 0..60u64 {
-        usage.taken(millis(second * 1_000), &name, 100_000);
-        assert!(!usage.is_over(millis(second * 1_000), &name));
+        usage.record(millis(second * 1_000), &name, 100_000);
+        assert!(!usage.is_over_share(millis(second * 1_000), &name));
     }
 }
 
@@ -40,16 +43,16 @@
 #[test]
 fn usage_decays() {
     let (greedy, usual) = (Name::new("greedy"), Name::new("usual"));
-    let mut usage = WorkspaceUse::new();
+    let mut usage = WorkspaceUsage::new();
     for second in 0..5u64 {
-        usage.taken(millis(second * 1_000), &greedy, 100_000);
-        usage.taken(millis(second * 1_000), &usual, 5_000);
-        usage.taken(millis(second * 1_000), &Name::new("other"), 5_000);
+        usage.record(millis(second * 1_000), &greedy, 100_000);
+        usage.record(millis(second * 1_000), &usual, 5_000);
+        usage.record(millis(second * 1_000), &Name::new("other"), 5_000);
     }
-    assert!(usage.is_over(millis(6_000), &greedy));
+    assert!(usage.is_over_share(millis(6_000), &greedy));
     for second in 6..40u64 {
-        usage.taken(millis(second * 1_000), &greedy, 5_000);
-        usage.taken(millis(second * 1_000), &usual, 5_000);
+        usage.record(millis(second * 1_000), &greedy, 5_000);
+        usage.record(millis(second * 1_000), &usual, 5_000);
     }
-    assert!(!usage.is_over(millis(41_000), &greedy));
+    assert!(!usage.is_over_share(millis(41_000), &greedy));
 }
--- a/relay/src/awake.rs
+++ b/relay/src/awake.rs
@@ -1,4 +1,4 @@
-//! A relay that has just woken waits for word of what holds. See `cicada_lib::standstill`.
+//! A relay that has just woken waits for word of what holds. See `cicada_lib::freeze_detector`.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 impl Relay {
     /// Notes that this process runs, and that it woke where it has stood still.
     pub(crate) fn note_runs(&self) {
-        let stood = self.standstill().runs(self.now());
+        let stood = self.freeze_detector().heartbeat(self.now());
         if let Some(stood) = stood {
             let stood = stood.as_millis() as u64;
             let version = self.version();
@@ -28,14 +28,14 @@
     /// Another process has told what it knows, up to these versions.
     pub(crate) fn note_told(&self, version: u64, revision: Revision) {
         if self.version() >= version && self.revision() >= revision {
-            self.standstill().told(self.now());
+            self.freeze_detector().state_received(self.now());
         }
     }
 
     /// Waits until this process may act on what it knows, where it has just stood still.
     pub(crate) async fn sure(&self) {
         self.note_runs();
-        while !self.standstill().is_sure(self.now()) {
+        while !self.freeze_detector().is_state_confirmed(self.now()) {
             sleep(SURE_PAUSE).await;
         }
     }
--- a/relay/src/relay.rs
+++ b/relay/src/relay.rs
@@ -13,6 +13,7 @@
 use cicada_lib::dialect::Dialect;
 use cicada_lib::dialect::EngineCalls;
 use cicada_lib::fleet::Fleet;
+use cicada_lib::freeze_detector::FreezeDetector;
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::LoadAsk;
 use cicada_lib::peer_words::MovedRun;
@@ -25,11 +26,10 @@
 use cicada_lib::revision::Revision;
 use cicada_lib::revision::SeenEra;
 use cicada_lib::route_table::RouteTable;
-use cicada_lib::standstill::Standstill;
 use cicada_lib::stream_admission::RetryPacer;
 use cicada_lib::time::Clock;
 use cicada_lib::time::Time;
-use cicada_lib::workspace_use::WorkspaceUse;
+use cicada_lib::workspace_usage::WorkspaceUsage;
 use tokio::sync::Notify;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
@@ -86,14 +86,14 @@
     pub(crate) engines: Arc<dyn EngineCalls>,
     pub(crate) figures: Figures,
     pub(crate) clock: Clock,
-    pub(crate) standstill: Mutex<Standstill>,
+    pub(crate) freeze_detector: Mutex<FreezeDetector>,
     pub(crate) table: ArcSwap<RouteTable>,
     pub(crate) fleet: Mutex<Fleet>,
     pub(crate) retries: Mutex<HashMap<Name, RetryWindow>>,
     pub(crate) comebacks: Mutex<RetryPacer>,
     pub(crate) returns: Mutex<RecentRejections>,
     // By service.
-    pub(crate) used: Mutex<HashMap<Name, WorkspaceUse>>,
+    pub(crate) used: Mutex<HashMap<Name, WorkspaceUsage>>,
     // Whether the list of servers has been read once.
     pub(crate) listed: AtomicBool,
     pub(crate) out_of_reach: AtomicBool,
@@ -159,7 +159,7 @@
             engines,
             figures,
             clock,
-            standstill: Mutex::new(Standstill::new(clock.now())),
+            freeze_detector: Mutex::new(FreezeDetector::new(clock.now())),
             table: ArcSwap::default(),
             retries: Mutex::default(),
             comebacks: Mutex::default(),
@@ -299,8 +299,8 @@
     }
 
     /// Whether this process has stood still. Held for microseconds.
-    pub(crate) fn standstill(&self) -> MutexGuard<'_, Standstill> {
-        lock(&self.standstill)
+    pub(crate) fn freeze_detector(&self) -> MutexGuard<'_, FreezeDetector> {
+        lock(&self.freeze_detector)
     }
 
     /// The backend servers. Held for microseconds.
--- a/relay/src/relay_places.rs
+++ b/relay/src/relay_places.rs
@@ -78,7 +78,7 @@
         let now = self.now();
         let mut used = lock(&self.used);
         used.get_mut(service)
-            .is_some_and(|used| used.is_over(now, workspace))
+            .is_some_and(|used| used.is_over_share(now, workspace))
     }
 
     /// A stream of the workspace was taken in, that is expected to hold so many tokens.
@@ -89,7 +89,7 @@
         let now = self.now();
         let mut used = lock(&self.used);
         let used = used.entry(service.clone()).or_default();
-        used.taken(now, workspace, tokens);
+        used.record(now, workspace, tokens);
     }
 
     /// When a caller that was turned away is asked back.
