--- a/daemon/src/desk.rs
+++ b/daemon/src/desk.rs
@@ -212,7 +212,7 @@
     }
 
     pub(crate) fn load(&self) -> cicada_lib::load::LoadSummary {
-        let mut load = self.scheduler.summary(self.clock.now());
+        let mut load = self.scheduler.load_summary(self.clock.now());
         load.draining = self.draining;
         load.reachable = self.reachable;
         load
--- a/daemon/src/desk_runs.rs
+++ b/daemon/src/desk_runs.rs
@@ -65,7 +65,7 @@
                     Added::Gap => return self.metrics.dropped_gap(),
                 }
                 if let Stage::Running(job) = record.stage {
-                    self.scheduler.token(now, job);
+                    self.scheduler.token_produced(now, job);
                 }
                 self.metrics.token();
                 self.isolation.token(key);
@@ -91,7 +91,7 @@
         if !self.open_gate() {
             return;
         }
-        while let Some(action) = self.scheduler.next(self.clock.now()) {
+        while let Some(action) = self.scheduler.next_action(self.clock.now()) {
             match action {
                 Action::Start(job) => self.start(job),
                 Action::Pause(job) => self.pause(job),
@@ -291,6 +291,6 @@
         max_tokens,
         deadline: Some(record.deadline),
         elsewhere: record.elsewhere,
-        returning: record.attempt.0 > 1,
+        retried: record.attempt.0 > 1,
     }
 }
--- a/lib/benches/scheduler.rs
+++ b/lib/benches/scheduler.rs
@@ -28,7 +28,7 @@
         max_tokens: 1_024,
         deadline: Some(Time::from_millis(1 << 40)),
         elsewhere: 10,
-        returning: false,
+        retried: false,
     }
 }
 
@@ -40,7 +40,7 @@
     let mut running = Vec::new();
     for index in 0..names.len() + BATCH_SIZE as usize {
         let _ = scheduler.offer(Time::ZERO, job_spec(names, index));
-        while let Some(action) = scheduler.next(Time::ZERO) {
+        while let Some(action) = scheduler.next_action(Time::ZERO) {
             if let Action::Start(key) = action {
                 running.push(key);
             }
@@ -63,7 +63,7 @@
                 bench.iter(|| {
                     index += 7;
                     if let Ok(key) = scheduler.offer(now, job_spec(&names, index)) {
-                        scheduler.next(now);
+                        scheduler.next_action(now);
                         scheduler.cancelled(now, key);
                     }
                 })
@@ -76,10 +76,10 @@
                 bench.iter(|| {
                     index += 7;
                     let index_in_batch = index % running.len();
-                    scheduler.token(now, running[index_in_batch]);
+                    scheduler.token_produced(now, running[index_in_batch]);
                     scheduler.finished(now, running.swap_remove(index_in_batch));
                     let _ = scheduler.offer(now, job_spec(&names, index));
-                    while let Some(action) = scheduler.next(now) {
+                    while let Some(action) = scheduler.next_action(now) {
                         if let Action::Start(key) = action {
                             running.push(key);
                         }
@@ -91,8 +91,8 @@
         criterion.bench_function(&format!("token and next, {count} workspaces"), |bench| {
             bench.iter(|| {
                 index += 1;
-                scheduler.token(now, running[index % running.len()]);
-                scheduler.next(now)
+                scheduler.token_produced(now, running[index % running.len()]);
+                scheduler.next_action(now)
             })
         });
     }
--- a/lib/src/scheduler.rs
+++ b/lib/src/scheduler.rs
@@ -55,7 +55,7 @@
         /// Weighted tokens that other agents served to the workspace since its last request here.
         pub elsewhere: u64,
         /// Whether the request was moved here from another agent.
-        pub returning: bool,
+        pub retried: bool,
     }
 }
 
@@ -177,7 +177,7 @@
     }
 
     /// The next action for the caller. To be called after every event until it returns `None`.
-    pub fn next(&mut self, now: Time) -> Option<Action> {
+    pub fn next_action(&mut self, now: Time) -> Option<Action> {
         self.drain_meter
             .observe(now, self.fair_queue.is_contended());
         if let Some(action) = self.next_timeout(now) {
@@ -196,7 +196,7 @@
         action
     }
 
-    /// When [`Scheduler::next`] has to be called even if no event occurs.
+    /// When [`Scheduler::next_action`] has to be called even if no event occurs.
     pub fn next_wakeup(&self, now: Time) -> Option<Time> {
         let timeout = self.timeouts.first().map(|&(time, _)| time);
         let paced = self.pacer.wait_until(now).filter(|_| self.queued > 0);
@@ -204,7 +204,7 @@
     }
 
     /// The engine produced a token.
-    pub fn token(&mut self, now: Time, key: JobKey) {
+    pub fn token_produced(&mut self, now: Time, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
@@ -324,7 +324,7 @@
     }
 
     /// The load as reported to entries.
-    pub fn summary(&self, _now: Time) -> LoadSummary {
+    pub fn load_summary(&self, _now: Time) -> LoadSummary {
         let capacity = self.batch.memory_plan.capacity();
         let wait = if self.fair_queue.is_contended() {
             self.queued_cost.up_to(1) as f64 / self.drain_rate()
@@ -346,13 +346,13 @@
 
     /// Weighted tokens served to a workspace here. May restart from 0 once the workspace was idle
     /// for more than a minute.
-    pub fn service_given(&self, workspace: &Name) -> u64 {
+    pub fn tokens_served(&self, workspace: &Name) -> u64 {
         let tenant = self.tenants.find(workspace);
         tenant.map_or(0, |tenant| tenant.account.served() / TOKEN_COST)
     }
 
     /// The number of workspaces whose state is kept.
-    pub fn workspaces(&self) -> usize {
+    pub fn workspace_count(&self) -> usize {
         self.tenants.len()
     }
 
--- a/lib/src/scheduler_admission.rs
+++ b/lib/src/scheduler_admission.rs
@@ -33,7 +33,7 @@
         let cost =
             self.prompt_cost(spec.prompt_tokens) + (expected.mean * TOKEN_COST as f64) as u64;
         // A retried job has already waited on another agent, so it is due at once.
-        let due = if spec.returning {
+        let due = if spec.retried {
             now
         } else {
             order::due(now, service)
--- a/lib/tests/fake_engine/mod.rs
+++ b/lib/tests/fake_engine/mod.rs
@@ -207,7 +207,7 @@
             max_tokens: request.limit,
             deadline: request.deadline,
             elsewhere: request.elsewhere,
-            returning: false,
+            retried: false,
         };
         let received = &mut self.received[index];
         let returned = received.refusal.take().is_some();
@@ -258,7 +258,7 @@
                 };
                 scheduler.engine_load(now, &load);
             }
-            match scheduler.next(now) {
+            match scheduler.next_action(now) {
                 None => return,
                 Some(Action::Start(key)) => self.waiting.push_back(self.keys[&key]),
                 Some(Action::Resume(key)) => {
@@ -436,7 +436,7 @@
         self.used += 1;
         let key = self.jobs.get(&index).copied();
         if let Some(key) = key {
-            self.report(key, Scheduler::token);
+            self.report(key, Scheduler::token_produced);
         }
         if self.received[index].tokens >= self.requests[index].length {
             self.received[index].complete = true;
--- a/lib/tests/scheduler_properties.rs
+++ b/lib/tests/scheduler_properties.rs
@@ -68,7 +68,7 @@
             max_tokens: 512,
             deadline: None,
             elsewhere,
-            returning: false,
+            retried: false,
         };
         let key = self.scheduler.offer(self.now, job).ok()?;
         self.lengths.insert(key, length.max(1));
@@ -88,7 +88,7 @@
     }
 
     fn step(&mut self) {
-        while let Some(action) = self.scheduler.next(self.now) {
+        while let Some(action) = self.scheduler.next_action(self.now) {
             if let Action::Start(key) = action {
                 self.waits.insert(key, self.now.since(self.arrivals[&key]));
                 self.running.push((key, self.lengths[&key]));
@@ -97,7 +97,7 @@
         }
         self.now = self.now + STEP;
         for (key, left) in &mut self.running {
-            self.scheduler.token(self.now, *key);
+            self.scheduler.token_produced(self.now, *key);
             *left -= 1;
             if *left == 0 {
                 self.scheduler.finished(self.now, *key);
@@ -107,7 +107,7 @@
     }
 
     fn served(&self, workspace: &str) -> f64 {
-        self.scheduler.service_given(&Name::new(workspace)) as f64
+        self.scheduler.tokens_served(&Name::new(workspace)) as f64
     }
 }
 
@@ -229,7 +229,7 @@
         simulation.offer("a", 5, 0);
     }
     for _ in 0..4_000 {
-        if simulation.scheduler.summary(simulation.now).queued < 10 {
+        if simulation.scheduler.load_summary(simulation.now).queued < 10 {
             simulation.offer("a", 5, 0);
         }
         simulation.step();
@@ -300,9 +300,9 @@
     }
     // Some 3,000 arrive within the retention time of idle workspaces.
     assert!(
-        simulation.scheduler.workspaces() < 4_000,
+        simulation.scheduler.workspace_count() < 4_000,
         "{}",
-        simulation.scheduler.workspaces()
+        simulation.scheduler.workspace_count()
     );
 }
 
