--- a/lib/tests/burst/mod.rs
+++ b/lib/tests/burst/mod.rs
@@ -85,12 +85,12 @@
 
 /// Results of the callers of one kind whose first request was sent during the burst.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Tally {
+pub(crate) struct KindTally {
     pub(crate) asked: f64,
     pub(crate) in_time: f64,
     // Served at the first attempt, and those of them in time.
-    pub(crate) fresh: f64,
-    pub(crate) fresh_in_time: f64,
+    pub(crate) first_attempts: f64,
+    pub(crate) first_attempts_in_time: f64,
     // Requests among the largest tenth by prompt length, and those of them that were served.
     pub(crate) large: f64,
     pub(crate) large_served: f64,
@@ -99,12 +99,12 @@
 
 /// The result of a simulated burst.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Outcome {
-    pub(crate) kinds: [Tally; 2],
-    pub(crate) displaced: u64,
+pub(crate) struct BurstOutcome {
+    pub(crate) kinds: [KindTally; 2],
+    pub(crate) preemptions: u64,
 }
 
-impl Outcome {
+impl BurstOutcome {
     /// The total worth of the requests served in time.
     pub(crate) fn worth(&self) -> f64 {
         let kinds = self.kinds.iter().zip(KINDS);
@@ -179,7 +179,7 @@
     refuses: bool,
     has_greedy: bool,
     enforce_shares: bool,
-    outcome: Outcome,
+    outcome: BurstOutcome,
     run_count: u64,
 }
 
@@ -218,13 +218,13 @@
 
 /// Simulates a burst at `load` times the usual rate. With `refuses` unset, the entries admit every
 /// request and send it to the best engine.
-pub(crate) fn play(load: f64, seed: u64, refuses: bool) -> Outcome {
+pub(crate) fn simulate(load: f64, seed: u64, refuses: bool) -> BurstOutcome {
     Simulation::new(seed, refuses).run(load)
 }
 
-/// Like [`play`], with one of ten workspaces sending as many requests as all others together. Only
-/// the others are tallied. `shares` tells whether entries enforce shares.
-pub(crate) fn play_greedy(load: f64, seed: u64, shares: bool) -> Outcome {
+/// Like [`simulate`], with one of ten workspaces sending as many requests as all others together.
+/// Only the others are tallied. `shares` tells whether entries enforce shares.
+pub(crate) fn simulate_greedy(load: f64, seed: u64, shares: bool) -> BurstOutcome {
     let mut simulation = Simulation::new(seed, true);
     simulation.has_greedy = true;
     simulation.enforce_shares = shares;
@@ -243,12 +243,12 @@
             refuses,
             has_greedy: false,
             enforce_shares: true,
-            outcome: Outcome::default(),
+            outcome: BurstOutcome::default(),
             run_count: 0,
         }
     }
 
-    fn run(mut self, load: f64) -> Outcome {
+    fn run(mut self, load: f64) -> BurstOutcome {
         self.generate_callers(load);
         while self.now < END {
             self.now += 1;
@@ -516,13 +516,13 @@
                 return;
             };
             victim.unread = victim.caller.prompt;
-            self.outcome.displaced += 1;
+            self.outcome.preemptions += 1;
         }
     }
 }
 
 /// Records that a caller received its first token.
-fn record_first_token(outcome: &mut Outcome, run: &Run, now: u64, greedy: bool) {
+fn record_first_token(outcome: &mut BurstOutcome, run: &Run, now: u64, greedy: bool) {
     let caller = &run.caller;
     if !caller.in_burst || (greedy && caller.workspace.as_str() == "w-0") {
         return;
@@ -534,7 +534,7 @@
     tally.large_served += f64::from(u8::from(caller.large));
     tally.in_time += f64::from(u8::from(in_time));
     if !caller.is_retry {
-        tally.fresh += 1.0;
-        tally.fresh_in_time += f64::from(u8::from(in_time));
+        tally.first_attempts += 1.0;
+        tally.first_attempts_in_time += f64::from(u8::from(in_time));
     }
 }
--- a/lib/tests/stream_admission.rs
+++ b/lib/tests/stream_admission.rs
@@ -2,6 +2,8 @@
 
 use std::time::Duration;
 
+use burst::BurstOutcome;
+use burst::KINDS;
 use cicada_lib::fleet::Outlook;
 use cicada_lib::ids::Name;
 use cicada_lib::stream_admission;
@@ -10,9 +12,6 @@
 use cicada_lib::stream_admission::RetryPacer;
 use cicada_lib::time::Time;
 
-use burst::KINDS;
-use burst::Outcome;
-
 mod burst;
 
 const LOADS: [f64; 5] = [1.5, 2.0, 3.0, 4.0, 6.0];
@@ -37,14 +36,14 @@
     }
 }
 
-fn simulate(load: f64, admission: bool) -> Vec<Outcome> {
+fn simulate(load: f64, admission: bool) -> Vec<BurstOutcome> {
     let seeds = SEEDS.iter();
     seeds
-        .map(|seed| burst::play(load, *seed, admission))
+        .map(|seed| burst::simulate(load, *seed, admission))
         .collect()
 }
 
-fn mean(outcomes: &[Outcome], figure: impl Fn(&Outcome) -> f64) -> f64 {
+fn mean(outcomes: &[BurstOutcome], figure: impl Fn(&BurstOutcome) -> f64) -> f64 {
     outcomes.iter().map(figure).sum::<f64>() / outcomes.len() as f64
 }
 
@@ -54,11 +53,11 @@
 fn goodput_does_not_fall_as_load_grows() {
     let mut best: f64 = 0.0;
     for load in LOADS {
-        let worth = mean(&simulate(load, true), Outcome::worth);
+        let worth = mean(&simulate(load, true), BurstOutcome::worth);
         assert!(worth >= 0.95 * best, "{worth} of {best} at {load}");
         best = best.max(worth);
     }
-    let unbounded = mean(&simulate(6.0, false), Outcome::worth);
+    let unbounded = mean(&simulate(6.0, false), BurstOutcome::worth);
     assert!(unbounded < 0.5 * best, "{unbounded} of {best}");
 }
 
@@ -70,7 +69,7 @@
     for load in LOADS {
         let outcomes = simulate(load, true);
         let share = |kind: usize| {
-            let tally = |o: &Outcome| o.kinds[kind].in_time / o.kinds[kind].asked;
+            let tally = |o: &BurstOutcome| o.kinds[kind].in_time / o.kinds[kind].asked;
             mean(&outcomes, tally)
         };
         assert!(
@@ -86,7 +85,7 @@
             });
             assert!(large >= 0.6 * all, "{large} of {all} at {load}");
         }
-        let preempted = mean(&outcomes, |o| o.displaced as f64);
+        let preempted = mean(&outcomes, |o| o.preemptions as f64);
         assert!(preempted < 5.0, "{preempted} at {load}");
     }
 }
@@ -98,7 +97,7 @@
     for load in LOADS {
         for outcome in simulate(load, true) {
             for tally in &outcome.kinds {
-                let (fresh, in_time) = (tally.fresh, tally.fresh_in_time);
+                let (fresh, in_time) = (tally.first_attempts, tally.first_attempts_in_time);
                 assert!(in_time >= 0.9 * fresh, "{in_time} of {fresh} at {load}");
             }
         }
@@ -114,12 +113,12 @@
         let even = simulate(load, true);
         let greedy = |shares: bool| {
             let seeds = SEEDS.iter();
-            let outcomes = seeds.map(|seed| burst::play_greedy(load, *seed, shares));
-            outcomes.collect::<Vec<Outcome>>()
+            let outcomes = seeds.map(|seed| burst::simulate_greedy(load, *seed, shares));
+            outcomes.collect::<Vec<BurstOutcome>>()
         };
         let (with_shares, without_shares) = (greedy(true), greedy(false));
         for (kind, _) in KINDS.iter().enumerate() {
-            let in_time = |outcomes: &[Outcome]| mean(outcomes, |o| o.kinds[kind].in_time);
+            let in_time = |outcomes: &[BurstOutcome]| mean(outcomes, |o| o.kinds[kind].in_time);
             let asked = mean(&with_shares, |o| o.kinds[kind].asked);
             let share = asked.min(0.9 * in_time(&even));
             let got = in_time(&with_shares);
