--- a/lib/src/batch.rs
+++ b/lib/src/batch.rs
@@ -41,6 +41,7 @@
     pub(crate) prompt_tokens: u32,
     pub(crate) max_tokens: u32,
     pub(crate) state: JobState,
+    /// Position in the queue of its workspace; see [`order`](crate::order).
     pub(crate) due: Time,
     /// When the job must be refused if it is still queued, or aborted if it has started.
     pub(crate) timeout: Option<Time>,
@@ -141,6 +142,7 @@
         self.held_tokens
     }
 
+    /// Whether any job is paused or preempted by the engine.
     pub(crate) fn has_preempted(&self) -> bool {
         !self.preempted.is_empty() || !self.paused.is_empty()
     }
--- a/lib/src/scheduler.rs
+++ b/lib/src/scheduler.rs
@@ -54,7 +54,7 @@
         pub deadline: Option<Time>,
         /// Weighted tokens that other agents served to the workspace since its last request here.
         pub elsewhere: u64,
-        /// Whether the request was moved here from another agent.
+        /// Whether the request has already waited on another agent.
         pub retried: bool,
     }
 }
--- a/lib/src/tenants.rs
+++ b/lib/src/tenants.rs
@@ -35,6 +35,7 @@
 const OVER_SHARE_FACTOR: f64 = 1.5;
 
 slotmap::new_key_type! {
+    /// Identifies a workspace known to the scheduler.
     pub(crate) struct TenantKey;
 }
 
@@ -43,6 +44,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CostByLength([u64; 4]);
 
+/// The scheduler's state of one workspace.
 #[derive(Debug)]
 pub(crate) struct Tenant {
     pub(crate) name: Name,
--- a/lib/src/workspace_usage.rs
+++ b/lib/src/workspace_usage.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 pub struct WorkspaceUsage {
     // Tokens, decayed up to `decayed_at`.
-    taken: HashMap<Name, f64>,
+    tokens: HashMap<Name, f64>,
     total: f64,
     active: usize,
     decayed_at: Time,
@@ -46,14 +46,14 @@
     /// Records an admitted request of `tokens` tokens.
     pub fn record(&mut self, now: Time, workspace: &Name, tokens: u64) {
         self.decay(now);
-        *self.taken.entry(workspace.clone()).or_default() += tokens as f64;
+        *self.tokens.entry(workspace.clone()).or_default() += tokens as f64;
         self.total += tokens as f64;
     }
 
     /// Whether the workspace is over its share while at least one other workspace is active.
     pub fn is_over_share(&mut self, now: Time, workspace: &Name) -> bool {
         self.decay(now);
-        let own = self.taken.get(workspace).copied().unwrap_or_default();
+        let own = self.tokens.get(workspace).copied().unwrap_or_default();
         let others = self.active.saturating_sub(1);
         others > 0 && own > OVER_SHARE_FACTOR * (self.total - own) / others as f64
     }
@@ -68,12 +68,17 @@
         self.decayed_at = now;
         let retained = 0.5f64.powf(elapsed.as_secs_f64() / HALF_LIFE.as_secs_f64());
         self.total = 0.0;
-        for taken in self.taken.values_mut() {
-            *taken *= retained;
-            self.total += *taken;
+        for tokens in self.tokens.values_mut() {
+            *tokens *= retained;
+            self.total += *tokens;
         }
-        let least = MIN_ACTIVE_FRACTION * self.total / self.taken.len().max(1) as f64;
-        self.taken.retain(|_, taken| *taken > least.min(1.0));
-        self.active = self.taken.values().filter(|taken| **taken > least).count();
+        let min_active = MIN_ACTIVE_FRACTION * self.total / self.tokens.len().max(1) as f64;
+        self.tokens
+            .retain(|_, tokens| *tokens > min_active.min(1.0));
+        self.active = self
+            .tokens
+            .values()
+            .filter(|tokens| **tokens > min_active)
+            .count();
     }
 }
--- a/lib/tests/burst/mod.rs
+++ b/lib/tests/burst/mod.rs
@@ -86,7 +86,7 @@
 /// Results of the callers of one kind whose first request was sent during the burst.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct KindTally {
-    pub(crate) asked: f64,
+    pub(crate) requests: f64,
     pub(crate) in_time: f64,
     // Served at the first attempt, and those of them in time.
     pub(crate) first_attempts: f64,
@@ -115,7 +115,7 @@
 #[derive(Clone)]
 struct Caller {
     kind: usize,
-    number: u64,
+    id: u64,
     sent_at: u64,
     prompt: u64,
     output: u64,
@@ -133,14 +133,14 @@
     key: ServerKey,
     expected: u64,
     // Tokens of the prompt that are not prefilled yet, and tokens produced.
-    unread: u64,
+    prompt_left: u64,
     produced: u64,
     first_token_sent: bool,
 }
 
 impl Run {
     fn held_tokens(&self) -> u64 {
-        self.caller.prompt - self.unread + self.produced
+        self.caller.prompt - self.prompt_left + self.produced
     }
 }
 
@@ -162,7 +162,7 @@
 enum Event {
     Request(usize, Caller),
     LoadReport(usize, usize, EngineLoad),
-    Sent(usize, SentWord),
+    RunStarted(usize, SentWord),
 }
 
 /// The state of the simulation.
@@ -268,7 +268,7 @@
                 let size = self.rng.f64();
                 let caller = Caller {
                     kind,
-                    number: requests.len() as u64,
+                    id: requests.len() as u64,
                     sent_at: at as u64,
                     prompt: (parameters.prompt as f64 * (0.5 + size)) as u64,
                     // Exponentially distributed, so lengths are hard to predict.
@@ -286,15 +286,15 @@
         self.events = requests.into();
     }
 
-    /// Draws one of ten workspaces. A greedy first one gets half of all callers.
+    /// Draws one of nine workspaces. If there is a greedy tenth one, it gets half of all callers.
     fn workspace(&mut self) -> Name {
         let greedy = self.has_greedy && self.workspace_rng.bool();
-        let number = if greedy {
+        let id = if greedy {
             0
         } else {
             self.workspace_rng.usize(1..10)
         };
-        Name::new(format!("w-{number}"))
+        Name::new(format!("w-{id}"))
     }
 
     fn schedule(&mut self, after: u64, event: Event) {
@@ -314,7 +314,7 @@
                     let now = Time::from_millis(self.now);
                     self.entries[entry].fleet.report(now, &here(engine), &load);
                 }
-                Event::Sent(entry, message) => {
+                Event::RunStarted(entry, message) => {
                     let now = Time::from_millis(self.now);
                     let fleet = &mut self.entries[entry].fleet;
                     fleet.started_elsewhere(now, message.engine, message.prompt, message.tokens);
@@ -339,32 +339,40 @@
         let now = Time::from_millis(self.now);
         if self.is_tallied(&caller) && !caller.is_retry {
             let tally = &mut self.outcome.kinds[caller.kind];
-            tally.asked += 1.0;
+            tally.requests += 1.0;
             tally.large += f64::from(u8::from(caller.large));
         }
         let service = Name::new("llm");
         // Callers' length estimates are wrong by a factor of up to e in both directions.
         let estimate = caller.output as f64 * (self.rng.f64() * 2.0 - 1.0).exp();
         let need = Need::new(&service, caller.prompt, caller.prompt + estimate as u64);
-        let at = &mut self.entries[entry];
+        let entry_state = &mut self.entries[entry];
         let asking = AdmissionRequest {
             rank: kind.priority,
-            age: at.returns.take(now, caller.number),
-            over_share: self.enforce_shares && at.usage.is_over_share(now, &caller.workspace),
+            age: entry_state.returns.take(now, caller.id),
+            over_share: self.enforce_shares
+                && entry_state.usage.is_over_share(now, &caller.workspace),
             objective: kind.objective,
         };
         let chosen = match self.refuses {
-            true => stream_admission::select_engine(&at.fleet, now, &need, &spec(), &asking).ok(),
-            false => at.fleet.choose(now, &need, &spec()).ok(),
+            true => {
+                stream_admission::select_engine(&entry_state.fleet, now, &need, &spec(), &asking)
+                    .ok()
+            }
+            false => entry_state.fleet.choose(now, &need, &spec()).ok(),
         };
         let Some(key) = chosen else {
             self.refuse(entry, caller, &asking);
             return;
         };
-        at.comebacks.record_admission(now, &service, kind.priority);
-        at.usage.record(now, &caller.workspace, need.tokens);
-        at.fleet.started(now, key, &need);
-        let engine = at.fleet.record(key).expect("chosen").address;
+        entry_state
+            .comebacks
+            .record_admission(now, &service, kind.priority);
+        entry_state
+            .usage
+            .record(now, &caller.workspace, need.tokens);
+        entry_state.fleet.started(now, key, &need);
+        let engine = entry_state.fleet.record(key).expect("chosen").address;
         self.run_count += 1;
         let message = SentWord {
             id: Name::new(format!("r-{}", self.run_count)),
@@ -374,7 +382,7 @@
         };
         let expected = need.tokens;
         for other in (0..ENTRIES).filter(|other| *other != entry) {
-            self.schedule(MESSAGE_DELAY, Event::Sent(other, message.clone()));
+            self.schedule(MESSAGE_DELAY, Event::RunStarted(other, message.clone()));
         }
         let SocketAddr::V4(address) = engine else {
             return;
@@ -383,7 +391,7 @@
         engine.load_tracker.record_sent(now, &message);
         engine.runs.push(Run {
             id: message.id,
-            unread: caller.prompt,
+            prompt_left: caller.prompt,
             caller,
             entry,
             key,
@@ -400,30 +408,32 @@
     fn refuse(&mut self, entry: usize, caller: Caller, asking: &AdmissionRequest) {
         let now = Time::from_millis(self.now);
         let kind = KINDS[caller.kind];
-        let passed = Duration::from_millis(self.now - caller.sent_at);
-        let left = kind.limit.saturating_sub(passed);
-        let spread = self.rng.f64();
-        let at = &mut self.entries[entry];
+        let elapsed = Duration::from_millis(self.now - caller.sent_at);
+        let left = kind.limit.saturating_sub(elapsed);
+        let jitter = self.rng.f64();
+        let entry_state = &mut self.entries[entry];
         let service = Name::new("llm");
-        let pause = at
+        let pause = entry_state
             .comebacks
-            .retry_delay(now, &service, asking, left, spread);
-        at.returns.record(now, caller.number, asking.age, pause);
+            .retry_delay(now, &service, asking, left, jitter);
+        entry_state
+            .returns
+            .record(now, caller.id, asking.age, pause);
         if caller.is_retry {
             return;
         }
         let other = self.rng.usize(..ENTRIES);
-        let back = Caller {
+        let retry = Caller {
             is_retry: true,
             ..caller
         };
-        self.schedule(pause.as_millis() as u64, Event::Request(other, back));
+        self.schedule(pause.as_millis() as u64, Event::Request(other, retry));
     }
 
     fn send_load_reports(&mut self, engine: usize) {
         let now = Time::from_millis(self.now);
-        let at = &mut self.engines[engine];
-        let begun = at.runs.iter().filter(|run| run.first_token_sent);
+        let engine_state = &mut self.engines[engine];
+        let begun = engine_state.runs.iter().filter(|run| run.first_token_sent);
         let runs: Vec<EngineRun> = begun
             .map(|run| EngineRun {
                 id: run.id.clone(),
@@ -432,18 +442,18 @@
                 rank: move_plan::rank(KINDS[run.caller.kind].priority, run.caller.output < 64),
             })
             .collect();
-        let used = at.runs.iter().map(Run::held_tokens).sum();
+        let used = engine_state.runs.iter().map(Run::held_tokens).sum();
         let report = EngineReport {
-            running: at.runs.len() as u32,
-            reading: (at.runs.len() - runs.len()) as u32,
+            running: engine_state.runs.len() as u32,
+            reading: (engine_state.runs.len() - runs.len()) as u32,
             used,
             capacity: CAPACITY,
             runs,
             ..EngineReport::default()
         };
         let (running, reading) = (report.running, report.reading);
-        at.load_tracker.update(now, report);
-        let forecast = at.load_tracker.forecast(now, None);
+        engine_state.load_tracker.update(now, report);
+        let forecast = engine_state.load_tracker.forecast(now, None);
         let load = EngineLoad {
             running,
             reading,
@@ -473,17 +483,20 @@
 
     fn engine_step(&mut self, engine: usize) {
         self.preempt_over_capacity(engine);
-        let at = &mut self.engines[engine];
-        let waiting = at.runs.iter_mut().filter(|run| run.unread > 0);
+        let engine_state = &mut self.engines[engine];
+        let waiting = engine_state
+            .runs
+            .iter_mut()
+            .filter(|run| run.prompt_left > 0);
         let next = waiting.min_by_key(|run| (KINDS[run.caller.kind].priority, run.caller.sent_at));
         let mut time = STEP_MICROS;
         if let Some(run) = next {
-            run.unread -= run.unread.min(PREFILL_CHUNK);
+            run.prompt_left -= run.prompt_left.min(PREFILL_CHUNK);
             time += STEP_PREFILL_MICROS;
         }
         let mut finished = Vec::new();
-        for (index, run) in at.runs.iter_mut().enumerate() {
-            if run.unread > 0 {
+        for (index, run) in engine_state.runs.iter_mut().enumerate() {
+            if run.prompt_left > 0 {
                 continue;
             }
             run.produced += 1;
@@ -500,22 +513,25 @@
             }
         }
         for index in finished.into_iter().rev() {
-            let run = at.runs.remove(index);
+            let run = engine_state.runs.remove(index);
             self.entries[run.entry].fleet.ended(run.key, run.expected);
         }
-        at.step_ends_at += time;
+        engine_state.step_ends_at += time;
     }
 
     fn preempt_over_capacity(&mut self, engine: usize) {
-        let at = &mut self.engines[engine];
-        while at.runs.iter().map(Run::held_tokens).sum::<u64>() > CAPACITY {
-            let victim = at.runs.iter_mut().filter(|run| run.unread == 0);
+        let engine_state = &mut self.engines[engine];
+        while engine_state.runs.iter().map(Run::held_tokens).sum::<u64>() > CAPACITY {
+            let victim = engine_state
+                .runs
+                .iter_mut()
+                .filter(|run| run.prompt_left == 0);
             let victim =
                 victim.max_by_key(|run| (KINDS[run.caller.kind].priority, run.caller.sent_at));
             let Some(victim) = victim else {
                 return;
             };
-            victim.unread = victim.caller.prompt;
+            victim.prompt_left = victim.caller.prompt;
             self.outcome.preemptions += 1;
         }
     }
--- a/lib/tests/stream_admission.rs
+++ b/lib/tests/stream_admission.rs
@@ -69,7 +69,7 @@
     for load in LOADS {
         let outcomes = simulate(load, true);
         let share = |kind: usize| {
-            let tally = |o: &BurstOutcome| o.kinds[kind].in_time / o.kinds[kind].asked;
+            let tally = |o: &BurstOutcome| o.kinds[kind].in_time / o.kinds[kind].requests;
             mean(&outcomes, tally)
         };
         assert!(
@@ -79,7 +79,7 @@
             share(1)
         );
         for (kind, _) in KINDS.iter().enumerate() {
-            let all = mean(&outcomes, |o| o.kinds[kind].served / o.kinds[kind].asked);
+            let all = mean(&outcomes, |o| o.kinds[kind].served / o.kinds[kind].requests);
             let large = mean(&outcomes, |o| {
                 o.kinds[kind].large_served / o.kinds[kind].large
             });
@@ -119,7 +119,7 @@
         let (with_shares, without_shares) = (greedy(true), greedy(false));
         for (kind, _) in KINDS.iter().enumerate() {
             let in_time = |outcomes: &[BurstOutcome]| mean(outcomes, |o| o.kinds[kind].in_time);
-            let asked = mean(&with_shares, |o| o.kinds[kind].asked);
+            let asked = mean(&with_shares, |o| o.kinds[kind].requests);
             let share = asked.min(0.9 * in_time(&even));
             let got = in_time(&with_shares);
             assert!(got >= 0.75 * share, "{got} of {share} at {load}");
