--- a/lib/src/stream_admission.rs
+++ b/lib/src/stream_admission.rs
@@ -136,7 +136,7 @@
     Rejected(Rejection),
 }
 
-/// Selects the best engine that passes [`check`], among the first [`MAX_CHECKED`].
+/// Selects the best engine that passes [`check`], among the first `MAX_CHECKED`.
 pub fn select_engine(
     fleet: &Fleet,
     now: Time,
