--- a/lib/src/entry_shares.rs
+++ b/lib/src/entry_shares.rs
@@ -1,20 +1,21 @@
-//! This entry's share of what all entries together may send to one backend server.
+//! The share of one entry process in what all entries together may send to a backend server.
 //!
-//! Load pattern: a server takes a number of requests from all entries together, and the entries may not hear each
-//! other, or have lost their peers a moment ago, so that none can count what the others send.
+//! Load pattern: a server accepts a number of requests from all entries together. The entries may not
+//! reach each other, or may have lost their peers a moment ago, so none can count what the others send.
 //!
-//! So shares follow from the entries that this one has ever heard of, dead ones included. Where there is less than
-//! one request for each, rendezvous hashing draws the entries that may send, so that all agree without a message.
+//! Shares are therefore computed from all entries that this one has ever heard of, dead ones included.
+//! Where the limit is below one request per entry, rendezvous hashing selects the entries that may
+//! send, so that all entries agree without exchanging messages.
 
 use std::net::SocketAddr;
 
 use crate::rendezvous::hash_address;
 use crate::rendezvous::mix;
 
-/// The entries that share.
+/// The entries among which a server's limit is divided.
 #[derive(Clone, Debug, Default)]
 pub struct EntryShares {
-    // Hashes of this entry's address and of all others' that are known; `None` until the others are known.
+    // Address hashes of this entry and of all others; `None` until the others are known.
     entries: Option<Entries>,
 }
 
@@ -25,7 +26,7 @@
 }
 
 impl EntryShares {
-    /// All entries that are known, whether they are alive or not.
+    /// Sets all known entries, whether they are alive or not.
     pub fn set_entries(&mut self, own: SocketAddr, others: impl IntoIterator<Item = SocketAddr>) {
         let others = others.into_iter().filter(|other| *other != own);
         self.entries = Some(Entries {
@@ -34,13 +35,14 @@
         });
     }
 
-    /// The entries that share, this one among them; `None` until the others are known.
+    /// The number of entries, including this one; `None` until the others are known.
     pub fn count(&self) -> Option<usize> {
         let entries = self.entries.as_ref()?;
         Some(entries.others.len() + 1)
     }
 
-    /// Whether this entry is one of the `places` that are drawn for the server.
+    /// Whether this entry is one of the `places` entries selected for the server by rendezvous
+    /// hashing.
     pub fn is_drawn(&self, server: SocketAddr, places: usize) -> bool {
         let Some(entries) = &self.entries else {
             return false;
@@ -52,7 +54,8 @@
         before.count() < places
     }
 
-    /// Whether this entry is drawn for the server in the `turn`. Each entry is, with this probability.
+    /// Whether this entry is sampled for the server in period `turn`. Each entry is sampled
+    /// independently with the given probability.
     pub fn is_in_turn(&self, server: SocketAddr, turn: u64, probability: f64) -> bool {
         let Some(entries) = &self.entries else {
             return false;
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -1,13 +1,13 @@
-//! The backend servers as one entry sees them, and which of them a request is sent to.
+//! One entry's view of the backend servers, and the choice of a server for each request.
 //!
-//! Load pattern: engines with little memory, of which a sixth leaves every few seconds, before requests
-//! whose length nobody knows. Placed by count alone, a few long ones meet in one engine, it displaces
-//! one of them in the middle, and its caller sees a pause of a second. Sent to the nearest alone, one
-//! availability zone queues while the others are idle.
+//! Load pattern: engines have little memory, a sixth of them leaves every few seconds, and the lengths
+//! of requests are unknown. If requests are placed by count alone, a few long ones meet at one engine,
+//! which preempts one of them while it runs, and its caller sees a pause of a second. If they go to the
+//! nearest engine only, one availability zone queues requests while the others are idle.
 //!
-//! A server's memory is taken as the larger of what it reports and what this entry has placed there,
-//! grown to the expected end of each. A request goes where the sum of way, expected wait and lack of
-//! room is least.
+//! A server's memory use is estimated as the larger of what it reports and what this entry has sent
+//! there, each request counted at its expected final size. A request goes to the server with the least
+//! sum of network distance, expected wait and missing memory.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -22,7 +22,7 @@
 use crate::ids::Name;
 use crate::round_trips::RoundTrips;
 use crate::routing::ServerKey;
-use crate::server_lives::ServerLives;
+use crate::server_lives::ServerIncarnations;
 use crate::service_time::ServiceTime;
 use crate::site::ServerChange;
 use crate::site::ServerPhase;
@@ -38,22 +38,22 @@
 pub use crate::fleet_server::Need;
 pub use crate::fleet_server::Outlook;
 
-/// Times that a server which could not be reached is left out: doubled with each in a row, from the
-/// first to the longest. A server that crashed is back after some seconds.
-const FIRST_REST: Duration = Duration::from_millis(400);
-const LONGEST_REST: Duration = Duration::from_secs(4);
+/// The exponential backoff for a server that cannot be reached, doubled for each consecutive failure. A
+/// server that crashed is back after some seconds.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// Failures in a row, with no success between, after which a server rests: one in seven calls fails
-/// by itself, three in a row one in three hundred.
-const FAILURES: u32 = 3;
+/// Consecutive failures after which a server is backed off: one in seven calls fails independently of
+/// the server, three in a row one time in three hundred.
+const BACKOFF_THRESHOLD: u32 = 3;
 
-/// Load reports older than this are ignored: several intervals of a scout's reports.
-pub(crate) const SCOUT_AGE: Duration = Duration::from_millis(1_200);
+/// A scout whose last load report is older than this counts as silent: several report intervals.
+pub(crate) const SCOUT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The beginning of identifiers under which engines stand that are known by their scouts' word only.
-pub(crate) const UNLISTED: &str = "unlisted ";
+/// The prefix of placeholder identifiers for engines that only their scouts have announced.
+pub(crate) const UNLISTED_PREFIX: &str = "unlisted ";
 
-/// Where this entry stands.
+/// The location of this entry.
 #[derive(Clone, Debug)]
 pub struct Place {
     /// Its availability zone.
@@ -63,7 +63,7 @@
 }
 
 impl Place {
-    /// The region of an availability zone; a zone whose region is not known is one by itself.
+    /// The region of an availability zone. A zone whose region is unknown is a region of its own.
     pub fn region_of<'a>(&'a self, zone: &'a Name) -> &'a Name {
         self.regions.get(zone).unwrap_or(zone)
     }
@@ -74,82 +74,83 @@
 pub struct Fleet {
     pub(crate) place: Place,
     pub(crate) servers: SlotMap<ServerKey, Server>,
-    // Listed servers only.
+    // Listed and announced servers only.
     pub(crate) ids: HashMap<Name, ServerKey>,
-    // All servers, listed or not. An address may be a former life's as well.
+    // All servers, listed or not. Several incarnations may share an address.
     pub(crate) addresses: HashMap<SocketAddr, Vec<ServerKey>>,
-    pub(crate) lives: ServerLives,
-    // Engines that have come since they were last asked for.
+    pub(crate) incarnations: ServerIncarnations,
+    // Addresses of servers added since the last call of `take_joined`.
     joined: Vec<SocketAddr>,
-    // Whether the whole list was taken in once: what comes later may have started just now.
-    listed: bool,
+    // Whether a list was applied: servers that are added later may have started just now.
+    initial_list_applied: bool,
     pub(crate) evacuated: EvacuatedZones,
     pub(crate) entries: EntryShares,
-    pub(crate) trips: RoundTrips,
-    // By plain service.
+    pub(crate) round_trips: RoundTrips,
+    // Mean work time for each plain service.
     pub(crate) service_times: HashMap<Name, ServiceTime>,
 }
 
 impl Fleet {
-    /// No servers yet.
+    /// Creates a fleet without servers.
     pub fn new(place: Place) -> Self {
         Fleet {
             place,
             servers: SlotMap::with_key(),
             ids: HashMap::new(),
             addresses: HashMap::new(),
-            lives: ServerLives::default(),
+            incarnations: ServerIncarnations::default(),
             joined: Vec::new(),
-            listed: false,
+            initial_list_applied: false,
             evacuated: EvacuatedZones::default(),
             entries: EntryShares::default(),
-            trips: RoundTrips::default(),
+            round_trips: RoundTrips::default(),
             service_times: HashMap::new(),
         }
     }
 
-    /// Takes in the whole list. Servers that are not in it are gone.
+    /// Applies a complete list. Servers that are not in it are removed.
     pub fn set_all(&mut self, now: Time, records: &[ServerRecord]) {
-        let named: HashSet<&Name> = records.iter().map(|record| &record.id).collect();
-        let known = self.ids.keys().filter(|id| !named.contains(id));
-        let missing: Vec<Name> = known.cloned().collect();
+        let listed: HashSet<&Name> = records.iter().map(|record| &record.id).collect();
+        let unlisted = self.ids.keys().filter(|id| !listed.contains(id));
+        let missing: Vec<Name> = unlisted.cloned().collect();
         for id in missing {
-            let announced = id.as_str().starts_with(UNLISTED);
-            if !announced && !self.is_young(now, &id) {
-                self.gone(now, &id);
+            let announced = id.as_str().starts_with(UNLISTED_PREFIX);
+            if !announced && !self.may_be_unlisted(now, &id) {
+                self.remove_listed(now, &id);
             }
         }
         self.add_all(now, records);
     }
 
-    /// Takes in a list in which servers may be missing that are still there.
+    /// Applies an incomplete list. Servers that are not in it are kept.
     pub fn add_all(&mut self, now: Time, records: &[ServerRecord]) {
         for record in records {
-            if !self.lives.is_barred(now, record) {
-                self.put(now, record);
+            if !self.incarnations.is_suppressed(now, record) {
+                self.upsert(now, record);
             }
         }
-        self.listed = true;
+        self.initial_list_applied = true;
     }
 
-    /// The directory has gone back to a copy of itself: what it lists may be of before.
+    /// Records that the directory was rolled back to an older copy, which may list servers that have
+    /// left since.
     pub fn directory_returned(&mut self, now: Time) {
-        self.lives.directory_returned(now);
+        self.incarnations.directory_rolled_back(now);
     }
 
-    /// Takes in one change.
+    /// Applies a change of the list.
     pub fn change(&mut self, now: Time, change: &ServerChange) {
         match change {
             ServerChange::Put(record) => {
-                self.lives.wrote(now, &record.id);
-                self.put(now, record);
+                self.incarnations.entry_written(now, &record.id);
+                self.upsert(now, record);
             }
-            ServerChange::Gone(id) => self.gone(now, id),
+            ServerChange::Gone(id) => self.remove_listed(now, id),
         }
     }
 
-    /// Takes over which availability zones are evacuated, if that is news. The servers of a zone that takes work again
-    /// may have started while it took none.
+    /// Sets the evacuated availability zones, if the set is newer. Servers of a zone whose evacuation ended
+    /// may have started during the evacuation and are treated as cold.
     pub fn set_evacuated(&mut self, now: Time, evacuated: &EvacuatedZones) -> EvacuationChange {
         let change = self.evacuated.update(evacuated);
         for server in self.servers.values_mut() {
@@ -165,220 +166,225 @@
         &self.evacuated
     }
 
-    /// A probe of an availability zone was answered after so long.
+    /// Records the round trip of a probe to an availability zone.
     pub fn probed(&mut self, now: Time, zone: &Name, took: Duration) {
-        self.trips.record(now, zone, took);
+        self.round_trips.record(now, zone, took);
     }
 
-    /// A plain server has answered a call so long after it was sent there. With a queue before it that says nothing of
-    /// the work.
+    /// Records how long a plain server took to answer a call. Only for calls that did not queue there:
+    /// otherwise the time includes waiting.
     pub fn worked(&mut self, now: Time, key: ServerKey, took: Duration) {
         let Some(server) = self.servers.get(key) else {
             return;
         };
-        let trip = self.round_trip(now, &server.record.zone);
-        let took = took.saturating_sub(trip);
+        let round_trip = self.round_trip(now, &server.record.zone);
+        let took = took.saturating_sub(round_trip);
         let service = server.record.service.clone();
         let mean = self.service_times.entry(service).or_default();
         mean.record(took);
         let mean = *mean;
         let server = &mut self.servers[key];
-        server.work.get_or_insert(mean).record(took);
+        server.work_time.get_or_insert(mean).record(took);
     }
 
-    /// Servers that are cold, of services whose cold servers take a bounded number of requests.
+    /// The number of cold servers whose services limit requests to cold servers.
     pub fn cold_count(&self, now: Time, services: &BTreeMap<Name, ServiceSpec>) -> usize {
         let listed = self.servers.values().filter(|server| server.listed);
         let cold = listed.filter(|server| {
-            let start = services.get(&server.record.service).map(|spec| &spec.cold);
-            start.is_some_and(|start| {
-                start.is_limited() && !server.cold.remaining(now, start.period).is_zero()
+            let cold_start = services.get(&server.record.service).map(|spec| &spec.cold);
+            cold_start.is_some_and(|cold_start| {
+                cold_start.is_limited() && !server.cold.remaining(now, cold_start.period).is_zero()
             })
         });
         cold.count()
     }
 
-    /// Takes over which entries there are, this one at `own`: they share what servers take from all of them.
+    /// Sets the entries among which servers' limits are divided; this one has the address `own`.
     pub fn set_entries(&mut self, own: SocketAddr, others: impl IntoIterator<Item = SocketAddr>) {
         self.entries.set_entries(own, others);
     }
 
-    /// The entries that share what servers take from all of them, as far as they are known.
+    /// The known entries among which servers' limits are divided.
     pub fn entries(&self) -> &EntryShares {
         &self.entries
     }
 
-    /// The listed servers.
+    /// The listed and announced servers.
     pub fn servers(&self) -> impl Iterator<Item = &ServerRecord> {
         self.ids.values().map(|key| &self.servers[*key].record)
     }
 
-    /// Whether the list need not have the server yet.
-    fn is_young(&self, now: Time, id: &Name) -> bool {
-        let found = self.ids.get(id).and_then(|key| self.servers[*key].found);
-        found.is_some_and(|since| ServerLives::is_young(now, since))
+    /// Whether the server may still be missing from the list.
+    fn may_be_unlisted(&self, now: Time, id: &Name) -> bool {
+        let observed = self
+            .ids
+            .get(id)
+            .and_then(|key| self.servers[*key].observed_since);
+        observed.is_some_and(|since| ServerIncarnations::may_be_unlisted(now, since))
     }
 
-    /// The addresses of servers that have come since this was last asked.
+    /// Takes the addresses of servers added since the last call.
     pub fn take_joined(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.joined)
     }
 
-    /// The record of a server, while it is listed or something of this entry is there.
+    /// The record of a server that is listed or has open requests of this entry.
     pub fn record(&self, key: ServerKey) -> Option<&ServerRecord> {
         self.servers.get(key).map(|s| &s.record)
     }
 
-    /// The identifier that a request can name the server by; empty where only its scout told of it.
+    /// The identifier that a request expects at the server; empty if only its scout has announced it.
     pub fn expected_id(record: &ServerRecord) -> Name {
-        match record.id.as_str().starts_with(UNLISTED) {
+        match record.id.as_str().starts_with(UNLISTED_PREFIX) {
             true => Name::default(),
             false => record.id.clone(),
         }
     }
 
-    /// The tokens of memory that a server is taken to have in use, and how old the report is on which
-    /// that rests; `None` where it rests on own requests alone.
+    /// The estimated memory use of a server in tokens, and the age of the report that it is based on;
+    /// `None` if it is based on this entry's requests only.
     pub fn load(&self, now: Time, key: ServerKey) -> (u64, Option<Duration>) {
         let Some(server) = self.servers.get(key) else {
             return (0, None);
         };
-        let age = server.fresh_report(now).map(|report| now.since(report.at));
-        (server.used(now), age)
+        let age = server
+            .fresh_report(now)
+            .map(|report| now.since(report.received_at));
+        (server.used_tokens(now), age)
     }
 
-    /// How long the engine takes to read the prompts that it has, as far as this entry knows.
+    /// The estimated time for prefill of the prompts already at the engine.
     pub fn reading(&self, now: Time, key: ServerKey) -> Duration {
         let server = self.servers.get(key);
-        server.map_or(Duration::ZERO, |server| server.reading(now))
+        server.map_or(Duration::ZERO, |server| server.prefill_backlog(now))
     }
 
     /// The listed server at the address.
     pub fn key_at(&self, address: SocketAddr) -> Option<ServerKey> {
-        let mut there = self.addresses.get(&address)?.iter().copied();
-        there.find(|key| self.servers[*key].listed)
+        let mut keys = self.addresses.get(&address)?.iter().copied();
+        keys.find(|key| self.servers[*key].listed)
     }
 
-    /// Whether something of this entry runs at the listed server at the address.
+    /// Whether this entry has open requests at the listed server at the address.
     pub fn runs_at(&self, address: SocketAddr) -> bool {
         let key = self.key_at(address);
-        key.is_some_and(|key| self.servers[key].open > 0)
+        key.is_some_and(|key| self.servers[key].open_requests > 0)
     }
 
-    /// Whether the server's scout has been heard lately.
+    /// Whether the server's scout has sent a report recently.
     pub fn has_scout(&self, now: Time, key: ServerKey) -> bool {
         let report = self.servers.get(key).and_then(|s| s.report);
-        report.is_some_and(|report| now.since(report.at) < SCOUT_AGE)
+        report.is_some_and(|report| now.since(report.received_at) < SCOUT_TIMEOUT)
     }
 
-    /// Since when it is known that the server leaves; `None` where it stays.
+    /// When this entry learnt that the server is leaving; `None` if it is not leaving.
     pub fn leaving(&self, key: ServerKey) -> Option<Time> {
         match self.servers.get(key) {
-            Some(server) => server.leaving,
+            Some(server) => server.leaving_since,
             None => Some(Time::ZERO),
         }
     }
 
-    /// A request was sent to the server.
+    /// Records a request sent to the server.
     pub fn started(&mut self, now: Time, key: ServerKey, need: &Need<'_>) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.open += 1;
-            server.tokens += need.tokens;
-            server.unread += need.prompt;
-            server.sent(now, need.prompt, need.tokens);
+            server.open_requests += 1;
+            server.expected_tokens += need.tokens;
+            server.prefill_tokens += need.prompt;
+            server.record_unreported(now, need.prompt, need.tokens);
             server.cold.record_send(now);
             let address = server.record.address;
-            server.limit.sent(now, address, &self.entries);
+            server.limit.record_sent(now, address, &self.entries);
         }
     }
 
-    /// Another entry sent a request to the engine at the address.
+    /// Records a request that another entry sent to the engine at the address.
     pub fn started_elsewhere(&mut self, now: Time, engine: SocketAddr, prompt: u64, tokens: u64) {
         if let Some(key) = self.key_at(engine) {
-            self.servers[key].sent(now, prompt, tokens);
+            self.servers[key].record_unreported(now, prompt, tokens);
         }
     }
 
-    /// The first event of a request came, or will not come.
+    /// Records that the first event of a request arrived, or will not arrive: its prefill is over.
     pub fn began(&mut self, key: ServerKey, prompt: u64) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.unread = server.unread.saturating_sub(prompt);
+            server.prefill_tokens = server.prefill_tokens.saturating_sub(prompt);
         }
     }
 
-    /// A request is no longer at the server.
+    /// Records that a request is no longer at the server.
     pub fn ended(&mut self, key: ServerKey, tokens: u64) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
-        server.open = server.open.saturating_sub(1);
-        server.tokens = server.tokens.saturating_sub(tokens);
-        if !server.listed && server.open == 0 {
+        server.open_requests = server.open_requests.saturating_sub(1);
+        server.expected_tokens = server.expected_tokens.saturating_sub(tokens);
+        if !server.listed && server.open_requests == 0 {
             self.remove(key);
         }
     }
 
-    /// A server answered a request well.
+    /// Records that a server served a request, which ends its backoff.
     pub fn went_well(&mut self, key: ServerKey) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.failures = 0;
-            server.rest = Time::ZERO;
+            server.consecutive_failures = 0;
+            server.backoff_until = Time::ZERO;
         }
     }
 
-    /// A server failed a request. `hard` where it could not be reached at all.
+    /// Records that a server failed a request; with `hard`, that it could not be reached at all.
     pub fn failed(&mut self, now: Time, key: ServerKey, hard: bool) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
-        server.failures += if hard { FAILURES } else { 1 };
-        if server.failures >= FAILURES {
-            let doublings = (server.failures / FAILURES - 1).min(4);
-            server.rest = now + (FIRST_REST * 2u32.pow(doublings)).min(LONGEST_REST);
+        server.consecutive_failures += if hard { BACKOFF_THRESHOLD } else { 1 };
+        if server.consecutive_failures >= BACKOFF_THRESHOLD {
+            let doublings = (server.consecutive_failures / BACKOFF_THRESHOLD - 1).min(4);
+            server.backoff_until = now + (INITIAL_BACKOFF * 2u32.pow(doublings)).min(MAX_BACKOFF);
         }
     }
 
-    /// A plain server said what runs and waits there.
+    /// Records how many requests a plain server reports as running and waiting.
     pub fn told_load(&mut self, key: ServerKey, running: u32, waiting: u32) {
         if let Some(server) = self.servers.get_mut(key) {
-            let told = f64::from(running + waiting);
-            server.others = (told - f64::from(server.open)).max(0.0);
+            let reported = f64::from(running + waiting);
+            server.other_requests = (reported - f64::from(server.open_requests)).max(0.0);
         }
     }
 
-    pub(crate) fn put(&mut self, now: Time, record: &ServerRecord) {
-        if self.lives.has_ended(now, record) {
+    pub(crate) fn upsert(&mut self, now: Time, record: &ServerRecord) {
+        if self.incarnations.has_ended(now, record) {
             return;
         }
         if let Some(key) = self.ids.get(&record.id).copied() {
             let server = &mut self.servers[key];
-            let same_life = server.record.born == record.born || server.record.born == 0;
-            if same_life && server.record.address == record.address {
+            let same_incarnation = server.record.born == record.born || server.record.born == 0;
+            if same_incarnation && server.record.address == record.address {
                 if record.phase == ServerPhase::Draining {
-                    server.leaving.get_or_insert(now);
+                    server.leaving_since.get_or_insert(now);
                 }
                 server.cold.set_remaining(now, record.cold);
                 let draining = server.record.phase == ServerPhase::Draining;
                 server.record = record.clone();
                 if draining {
-                    // No life takes work again; others are told by this record.
+                    // An incarnation never takes work again. The record is passed on to other entries.
                     server.record.phase = ServerPhase::Draining;
                 }
-                server.found = None;
+                server.observed_since = None;
                 return;
             }
-            // Another life under the same identifier: it holds nothing of the one before.
-            self.gone(now, &record.id);
+            // Another incarnation under the same identifier shares no state with the previous one.
+            self.remove_listed(now, &record.id);
         }
-        if self.take_announced(now, record) {
+        if self.list_announced(now, record) {
             return;
         }
         let mut server = Server::new(record.clone());
         server.listed = true;
         let draining = record.phase == ServerPhase::Draining;
-        server.leaving = draining.then_some(now);
+        server.leaving_since = draining.then_some(now);
         server.cold.set_remaining(now, record.cold);
-        if self.listed {
+        if self.initial_list_applied {
             server.cold.note_possible_start(now);
         }
         let key = self.insert(server);
@@ -386,10 +392,10 @@
         self.joined.push(record.address);
     }
 
-    /// The list has an engine that was known by its scout's word only: it is the same one, and what runs
-    /// there goes on.
-    fn take_announced(&mut self, now: Time, record: &ServerRecord) -> bool {
-        let id = Name::new(format!("{UNLISTED}{}", record.address));
+    /// Applies a record of an engine that only its scout had announced. It is the same engine, so its
+    /// open requests are kept.
+    fn list_announced(&mut self, now: Time, record: &ServerRecord) -> bool {
+        let id = Name::new(format!("{UNLISTED_PREFIX}{}", record.address));
         let Some(key) = self.ids.remove(&id) else {
             return false;
         };
@@ -397,21 +403,21 @@
         server.cold.set_remaining(now, record.cold);
         server.record = record.clone();
         if record.phase == ServerPhase::Draining {
-            server.leaving.get_or_insert(Time::ZERO);
+            server.leaving_since.get_or_insert(Time::ZERO);
         }
         self.ids.insert(record.id.clone(), key);
         true
     }
 
-    pub(crate) fn gone(&mut self, now: Time, id: &Name) {
+    pub(crate) fn remove_listed(&mut self, now: Time, id: &Name) {
         let Some(key) = self.ids.remove(id) else {
             return;
         };
         let server = &mut self.servers[key];
         server.listed = false;
-        server.leaving.get_or_insert(now);
-        self.lives.left(now, &server.record);
-        if server.open == 0 {
+        server.leaving_since.get_or_insert(now);
+        self.incarnations.record_removal(now, &server.record);
+        if server.open_requests == 0 {
             self.remove(key);
         }
     }
@@ -428,9 +434,9 @@
             return;
         };
         let address = server.record.address;
-        if let Some(there) = self.addresses.get_mut(&address) {
-            there.retain(|other| *other != key);
-            if there.is_empty() {
+        if let Some(keys) = self.addresses.get_mut(&address) {
+            keys.retain(|other| *other != key);
+            if keys.is_empty() {
                 self.addresses.remove(&address);
             }
         }
--- a/lib/src/fleet_choice.rs
+++ b/lib/src/fleet_choice.rs
@@ -1,8 +1,9 @@
 //! The choice of a backend server for a request.
 //!
-//! A request goes where the sum of distance, expected wait and lack of room is least, among the servers that it may
-//! go to: in a region that is allowed, in no evacuated availability zone, and at no server beyond what that tolerates while
-//! it is cold or takes while it names a limit. See `fleet` for the load patterns.
+//! A request goes to the server with the least sum of network distance, expected wait and missing memory,
+//! among the servers that it may use: those in an allowed region and in no evacuated availability zone,
+//! where this entry has not used up its share of a cold server's tolerated rate or of a server's
+//! announced limit. The module `fleet` describes the load patterns.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -13,7 +14,7 @@
 use crate::fleet::Fleet;
 use crate::fleet::Need;
 use crate::fleet::Outlook;
-use crate::fleet_server::RegionRoom;
+use crate::fleet_server::RegionMemory;
 use crate::fleet_server::Server;
 use crate::ids::Name;
 use crate::placement;
@@ -25,37 +26,38 @@
 use crate::site::ServiceSpec;
 use crate::time::Time;
 
-/// What an engine of another availability zone of the region must be better by, in milliseconds of the first
-/// event: a stream's events would cross between zones, which is paid by volume. A prompt's reading is more.
-const ZONE_CROSSING: f64 = 120.0;
+/// The cost of an engine in another availability zone of the region, in milliseconds of time to first
+/// event: the stream's events would cross zones, where traffic is billed by volume. Prefill of a prompt
+/// takes longer than this.
+const ZONE_CROSSING_COST: f64 = 120.0;
 
-/// What a second costs for which a server is cold yet, in milliseconds: it works slowly.
-const COLD_SECOND: f64 = 100.0;
+/// The cost of each second for which a server remains cold, in milliseconds: it works slowly.
+const COLD_SECOND_COST: f64 = 100.0;
 
 copy_type! {
-    /// Why a server is left out of a choice that would do otherwise.
+    /// Why an otherwise suitable server is excluded from a choice.
     pub enum Exclusion {
-        /// It stands in a region in which the request may not be served.
+        /// The request may not be served in its region.
         Region,
         /// Its availability zone is evacuated.
         Evacuated,
-        /// It is cold, and this entry has sent what it may.
+        /// It is cold, and this entry has used up its share of the rate that cold servers tolerate.
         Cold,
-        /// It names a limit, and this entry has sent its share.
+        /// It announces a rate limit, and this entry has used up its share.
         Limited,
     }
 
-    /// The reason for which a choice found no server.
+    /// Why a choice found no server.
     pub enum NoServer {
-        /// No server of the service is known that takes work.
+        /// No known server of the service takes work.
         None,
-        /// There are some, but all of them are left out.
+        /// All servers of the service are excluded; of their reasons, the one expected to cease first.
         Excluded(Exclusion),
     }
 }
 
 impl NoServer {
-    /// The word for logs and counters.
+    /// The name in logs and counters.
     pub fn word(self) -> &'static str {
         match self {
             NoServer::None => "no_server",
@@ -67,7 +69,7 @@
     }
 }
 
-/// How many servers were left out of a choice, by reason.
+/// The number of servers that were excluded from a choice, by reason.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LeftOut {
     /// See [`Exclusion::Region`].
@@ -81,8 +83,8 @@
 }
 
 impl LeftOut {
-    fn count(&mut self, why: Exclusion) {
-        match why {
+    fn add(&mut self, reason: Exclusion) {
+        match reason {
             Exclusion::Region => self.region += 1,
             Exclusion::Evacuated => self.evacuated += 1,
             Exclusion::Cold => self.cold += 1,
@@ -90,8 +92,8 @@
         }
     }
 
-    /// The reason that will pass first.
-    fn reason(&self) -> NoServer {
+    /// The reason that is expected to cease first.
+    fn most_transient(&self) -> NoServer {
         match self {
             LeftOut { limited: 1.., .. } => NoServer::Excluded(Exclusion::Limited),
             LeftOut { cold: 1.., .. } => NoServer::Excluded(Exclusion::Cold),
@@ -118,7 +120,7 @@
 }
 
 impl Fleet {
-    /// The load that a request would find at an engine.
+    /// The load that a request would meet at an engine.
     pub fn outlook(
         &self,
         now: Time,
@@ -130,10 +132,10 @@
             return Outlook::default();
         };
         Outlook {
-            memory: server.fill(now, need.tokens, engine),
-            before: server.reading(now),
-            own: server.reading_time(now, need.prompt as f64),
-            running: server.running(now),
+            memory: server.memory_fill(now, need.tokens, engine),
+            before: server.prefill_backlog(now),
+            own: server.prefill_time(now, need.prompt as f64),
+            running: server.requests(now),
             slots: engine.slots,
         }
     }
@@ -145,38 +147,39 @@
         need: &Need<'_>,
         spec: &ServiceSpec,
     ) -> Result<ServerKey, NoServer> {
-        let rooms = spec
+        let memory = spec
             .engine
             .as_ref()
-            .map(|engine| self.region_rooms(now, need, engine));
+            .map(|engine| self.region_memory(now, need, engine));
         let mut best: Option<(f64, ServerKey)> = None;
-        let mut left_out = LeftOut::default();
+        let mut excluded = LeftOut::default();
         for (key, server) in &self.servers {
-            if !need.asks_for(key, server) {
+            if !need.matches(key, server) {
                 continue;
             }
-            if let Some(why) = self.exclusion(now, server, need, spec) {
-                left_out.count(why);
+            if let Some(reason) = self.exclusion(now, server, need, spec) {
+                excluded.add(reason);
                 continue;
             }
             let region = self.place.region_of(&server.record.zone);
-            let room = rooms.as_ref().and_then(|rooms| rooms.get(region));
-            let crowded = room.map_or(0.0, |room| room.penalty(need.tokens));
-            let score = self.score(now, server, need, spec) + crowded;
-            if best.is_none_or(|(least, _)| score < least) {
-                best = Some((score, key));
+            let region_memory = memory.as_ref().and_then(|memory| memory.get(region));
+            let headroom = region_memory.map_or(0.0, |m| m.headroom_cost(need.tokens));
+            let cost = self.cost(now, server, need, spec) + headroom;
+            if best.is_none_or(|(least, _)| cost < least) {
+                best = Some((cost, key));
             }
         }
-        best.map(|(_, key)| key).ok_or_else(|| left_out.reason())
+        best.map(|(_, key)| key)
+            .ok_or_else(|| excluded.most_transient())
     }
 
-    /// Whether the server stands in this entry's region.
+    /// Whether the server is in this entry's region.
     pub fn is_near(&self, key: ServerKey) -> bool {
         let server = self.servers.get(key);
         server.is_some_and(|server| self.locality(&server.record.zone) != Locality::OtherRegion)
     }
 
-    /// Whether the server may get the request, were it the best one: a run that goes on there is not chosen for.
+    /// Whether a run may continue at the server, for runs whose server is given and not chosen.
     pub fn may_get(&self, key: ServerKey, regions: &AllowedRegions) -> bool {
         let Some(server) = self.servers.get(key) else {
             return false;
@@ -185,19 +188,19 @@
         regions.permits(self.place.region_of(zone)) && !self.evacuated.contains(zone)
     }
 
-    /// The servers of this entry's region that a choice left out, by reason.
+    /// The number of servers of this entry's region that are excluded for the request, by reason.
     pub fn left_out_near(&self, now: Time, need: &Need<'_>, spec: &ServiceSpec) -> LeftOut {
-        let mut left_out = LeftOut::default();
+        let mut excluded = LeftOut::default();
         for (key, server) in &self.servers {
             let near = self.locality(&server.record.zone) != Locality::OtherRegion;
-            if !near || !need.asks_for(key, server) {
+            if !near || !need.matches(key, server) {
                 continue;
             }
-            if let Some(why) = self.exclusion(now, server, need, spec) {
-                left_out.count(why);
+            if let Some(reason) = self.exclusion(now, server, need, spec) {
+                excluded.add(reason);
             }
         }
-        left_out
+        excluded
     }
 
     pub(crate) fn exclusion(
@@ -214,104 +217,113 @@
         if self.evacuated.contains(zone) {
             return Some(Exclusion::Evacuated);
         }
-        if self.is_beyond_share(now, server, &spec.cold) {
+        if self.has_used_cold_share(now, server, &spec.cold) {
             return Some(Exclusion::Cold);
         }
-        self.is_at_limit(now, server).then_some(Exclusion::Limited)
+        self.has_reached_limit(now, server)
+            .then_some(Exclusion::Limited)
     }
 
-    /// Whether a cold server has got all that this entry may send there.
-    fn is_beyond_share(&self, now: Time, server: &Server, start: &ColdStart) -> bool {
-        if !start.is_limited() || server.cold.remaining(now, start.period).is_zero() {
+    /// Whether the server is cold and this entry has used up its share of the tolerated rate.
+    fn has_used_cold_share(&self, now: Time, server: &Server, cold_start: &ColdStart) -> bool {
+        if !cold_start.is_limited() || server.cold.remaining(now, cold_start.period).is_zero() {
             return false;
         }
-        let share = start.share(&self.entries, server.record.address);
+        let share = cold_start.share(&self.entries, server.record.address);
         server.cold.recent_sends(now) >= share
     }
 
-    /// Whether the reports of the near engines that a request may go to, or of all where none is near, come too
-    /// seldom to choose by, or none has come yet: all entries would then take the same engine.
+    /// Whether load reports are too infrequent to choose by, or none has arrived yet: all entries would
+    /// then choose the same engine. Considers the engines of this entry's region that a request may go to,
+    /// or those of all regions if there are none.
     pub fn reports_too_sparse(&self, now: Time, service: &Name, regions: &AllowedRegions) -> bool {
         let servers = self.servers.values();
-        let able = servers.filter(|s| {
+        let eligible = servers.filter(|s| {
             let zone = &s.record.zone;
-            let open = s.usable() && !self.evacuated.contains(zone);
-            open && s.record.service == *service && regions.permits(self.place.region_of(zone))
+            let usable = s.takes_work() && !self.evacuated.contains(zone);
+            usable && s.record.service == *service && regions.permits(self.place.region_of(zone))
         });
         let (near, far): (Vec<&Server>, Vec<&Server>) =
-            able.partition(|s| self.locality(&s.record.zone) != Locality::OtherRegion);
-        let chosen = if near.is_empty() { far } else { near };
-        let mut reports = chosen.iter().filter_map(|s| s.fresh_report(now)).peekable();
+            eligible.partition(|s| self.locality(&s.record.zone) != Locality::OtherRegion);
+        let considered = if near.is_empty() { far } else { near };
+        let mut reports = considered
+            .iter()
+            .filter_map(|s| s.fresh_report(now))
+            .peekable();
         let unknown = reports.peek().is_none();
-        unknown || reports.any(|report| placement::reports_too_sparse(report.every))
+        unknown || reports.any(|report| placement::reports_too_sparse(report.interval))
     }
 
     /// The servers that the request may go to.
     pub fn options(&self, now: Time, need: &Need<'_>, spec: &ServiceSpec) -> Vec<Candidate> {
         let servers = self.servers.iter();
-        let able = servers.filter(|(key, server)| {
-            need.asks_for(*key, server) && self.exclusion(now, server, need, spec).is_none()
+        let eligible = servers.filter(|(key, server)| {
+            need.matches(*key, server) && self.exclusion(now, server, need, spec).is_none()
         });
-        let options = able.map(|(key, server)| Candidate {
+        let candidates = eligible.map(|(key, server)| Candidate {
             key,
             locality: self.locality(&server.record.zone),
         });
-        options.collect()
+        candidates.collect()
     }
 
-    fn score(&self, now: Time, server: &Server, need: &Need<'_>, spec: &ServiceSpec) -> f64 {
-        let crosses =
+    fn cost(&self, now: Time, server: &Server, need: &Need<'_>, spec: &ServiceSpec) -> f64 {
+        let crosses_zones =
             spec.engine.is_some() && self.locality(&server.record.zone) == Locality::SameRegion;
-        let crossing = if crosses { ZONE_CROSSING } else { 0.0 };
-        let trip = self.round_trip(now, &server.record.zone);
-        let way = trip.as_secs_f64() * 1_000.0 + crossing;
-        let rest = server.rest.since(now).as_secs_f64() * 1_000.0;
-        let cold = server.cold.remaining(now, spec.cold.period).as_secs_f64() * COLD_SECOND;
+        let crossing = if crosses_zones {
+            ZONE_CROSSING_COST
+        } else {
+            0.0
+        };
+        let round_trip = self.round_trip(now, &server.record.zone);
+        let distance = round_trip.as_secs_f64() * 1_000.0 + crossing;
+        let backoff = server.backoff_until.since(now).as_secs_f64() * 1_000.0;
+        let cold = server.cold.remaining(now, spec.cold.period).as_secs_f64() * COLD_SECOND_COST;
         let load = match &spec.engine {
             Some(engine) => server.engine_cost(now, need, engine),
             None => server.queue_cost(self.service_time(need.service, server)),
         };
-        way + 10.0 * rest + cold + load
+        distance + 10.0 * backoff + cold + load
     }
 
-    /// The time that a plain server works on a call: its own mean once it has one, else its service's.
+    /// The mean time that a plain server takes for a call; the mean of its service until it has its own.
     fn service_time(&self, service: &Name, server: &Server) -> Duration {
-        let own = server.work.as_ref();
-        let work = own.or_else(|| self.service_times.get(service));
-        work.copied().unwrap_or_default().mean()
+        let own = server.work_time.as_ref();
+        let estimate = own.or_else(|| self.service_times.get(service));
+        estimate.copied().unwrap_or_default().mean()
     }
 
     /// The memory of a service's engines in each region.
-    fn region_rooms(
+    fn region_memory(
         &self,
         now: Time,
         need: &Need<'_>,
         engine: &EngineSpec,
-    ) -> HashMap<Name, RegionRoom> {
-        let mut rooms: HashMap<Name, RegionRoom> = HashMap::new();
+    ) -> HashMap<Name, RegionMemory> {
+        let mut regions: HashMap<Name, RegionMemory> = HashMap::new();
         for server in self.servers.values() {
             let evacuated = self.evacuated.contains(&server.record.zone);
             if &server.record.service != need.service || !server.listed || evacuated {
                 continue;
             }
             let region = self.place.region_of(&server.record.zone);
-            let room = rooms.entry(region.clone()).or_default();
-            let used = server.used(now);
-            if server.leaving.is_some() {
-                // What runs there needs room at the others now.
-                room.used += used;
+            let memory = regions.entry(region.clone()).or_default();
+            let used = server.used_tokens(now);
+            if server.leaving_since.is_some() {
+                // The runs of a leaving engine need memory at the others now.
+                memory.used += used;
             } else {
-                room.capacity += engine.capacity;
-                room.used += used;
-                room.largest = room.largest.max(engine.capacity);
+                memory.capacity += engine.capacity;
+                memory.used += used;
+                memory.largest = memory.largest.max(engine.capacity);
             }
         }
-        rooms
+        regions
     }
 
     /// The round trip to an availability zone.
     pub fn round_trip(&self, now: Time, zone: &Name) -> Duration {
-        self.trips.estimate(now, zone, self.locality(zone))
+        self.round_trips.estimate(now, zone, self.locality(zone))
     }
 
     pub(crate) fn locality(&self, zone: &Name) -> Locality {
--- a/lib/src/fleet_limits.rs
+++ b/lib/src/fleet_limits.rs
@@ -1,4 +1,4 @@
-//! The limits that backend servers name, as one entry knows them.
+//! The request rate limits that backend servers announce, as one entry knows them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,11 +15,11 @@
 use crate::site::ServiceSpec;
 use crate::time::Time;
 
-/// Limits that one entry tells others at once: they fit into a datagram beside the rest.
-const MOST_TOLD: usize = 24;
+/// The most limits that one entry reports at once: they fit into a datagram along with its other content.
+const MAX_REPORTS: usize = 24;
 
 impl Fleet {
-    /// An answer to a request that was sent at `sent` names the server's limit, or none.
+    /// Applies the limit in a response to a request that was sent at `sent`, or the absence of one.
     pub fn told_limit(
         &mut self,
         now: Time,
@@ -27,15 +27,18 @@
         sent: Time,
         limit: Option<RequestRate>,
     ) -> Option<LimitChange> {
-        self.servers.get_mut(key)?.limit.answered(now, sent, limit)
+        self.servers
+            .get_mut(key)?
+            .limit
+            .record_response(now, sent, limit)
     }
 
-    /// The limit that the server names.
+    /// The limit that the server announces.
     pub fn limit(&self, key: ServerKey) -> Option<RequestRate> {
         self.servers.get(key)?.limit.rate()
     }
 
-    /// Listed servers that name a limit.
+    /// The number of listed servers with a limit.
     pub fn limited_count(&self) -> usize {
         let listed = self.servers.values().filter(|server| server.listed);
         listed
@@ -43,40 +46,41 @@
             .count()
     }
 
-    /// The addresses of listed servers of the service that name a limit.
+    /// The addresses of listed servers of the service that have a limit.
     pub fn limited_at<'a>(&'a self, service: &'a Name) -> impl Iterator<Item = SocketAddr> + 'a {
         let limited = self.servers.values().filter(move |server| {
-            let named = server.limit.rate().is_some();
-            named && server.listed && server.record.service == *service
+            let has_limit = server.limit.rate().is_some();
+            has_limit && server.listed && server.record.service == *service
         });
         limited.map(|server| server.record.address)
     }
 
-    /// Another entry tells of servers' limits. The servers whose limits have changed by that.
-    pub fn hear_limits(&mut self, now: Time, words: &[LimitWord]) -> Vec<(Name, LimitChange)> {
+    /// Applies another entry's reports of limits. Returns the servers whose limits changed.
+    pub fn hear_limits(&mut self, now: Time, reports: &[LimitWord]) -> Vec<(Name, LimitChange)> {
         let mut changes = Vec::new();
-        for word in words {
-            let Some(key) = self.ids.get(&word.server) else {
+        for report in reports {
+            let Some(key) = self.ids.get(&report.server) else {
                 continue;
             };
-            if let Some(change) = self.servers[*key].limit.heard(now, word) {
-                changes.push((word.server.clone(), change));
+            if let Some(change) = self.servers[*key].limit.apply_report(now, report) {
+                changes.push((report.server.clone(), change));
             }
         }
         changes
     }
 
-    /// What other entries are told of servers' limits, the latest first.
+    /// The reports of servers' limits to other entries, the latest first.
     pub fn limit_words(&self, now: Time) -> Vec<LimitWord> {
         let listed = self.ids.iter();
-        let words = listed.filter_map(|(id, key)| self.servers[*key].limit.word(now, id));
-        let mut words: Vec<LimitWord> = words.collect();
-        words.sort_by_key(|word| word.age);
-        words.truncate(MOST_TOLD);
-        words
+        let reports = listed.filter_map(|(id, key)| self.servers[*key].limit.report(now, id));
+        let mut reports: Vec<LimitWord> = reports.collect();
+        reports.sort_by_key(|report| report.age);
+        reports.truncate(MAX_REPORTS);
+        reports
     }
 
-    /// How long until this entry may send a request to one of the servers that only their limits keep it from.
+    /// How long until this entry may send a request to one of the servers that are excluded only by
+    /// their limits.
     pub fn until_unlimited(
         &self,
         now: Time,
@@ -85,14 +89,14 @@
     ) -> Option<Duration> {
         let limited = self.servers.iter().filter(|(key, server)| {
             let limited = Some(Exclusion::Limited);
-            need.asks_for(*key, server) && self.exclusion(now, server, need, spec) == limited
+            need.matches(*key, server) && self.exclusion(now, server, need, spec) == limited
         });
         let waits = limited.filter_map(|(_, server)| self.limit_wait(now, server));
         waits.min()
     }
 
-    /// Whether the server has got this entry's share of the limit that it names.
-    pub(crate) fn is_at_limit(&self, now: Time, server: &Server) -> bool {
+    /// Whether this entry has used up its share of the server's limit.
+    pub(crate) fn has_reached_limit(&self, now: Time, server: &Server) -> bool {
         self.limit_wait(now, server) != Some(Duration::ZERO)
     }
 
--- a/lib/src/fleet_news.rs
+++ b/lib/src/fleet_news.rs
@@ -1,13 +1,13 @@
-//! What scouts and requests tell of backend servers, beside the list.
+//! Updates of the view of backend servers from scouts and requests, in addition to the list.
 
 use std::time::Duration;
 
 use crate::fleet::Fleet;
-use crate::fleet::SCOUT_AGE;
-use crate::fleet::UNLISTED;
+use crate::fleet::SCOUT_TIMEOUT;
+use crate::fleet::UNLISTED_PREFIX;
+use crate::fleet_server::REPORT_LAG;
 use crate::fleet_server::Report;
 use crate::fleet_server::Server;
-use crate::fleet_server::UNSEEN;
 use crate::ids::Name;
 use crate::peer_words::EngineHere;
 use crate::peer_words::EngineLoad;
@@ -18,20 +18,20 @@
 use crate::time::Time;
 
 impl Fleet {
-    /// A scout says that its engine is there; whether that is news. Counts until the list has it, under
-    /// no identifier: the engine's own is in the list only.
+    /// Applies a scout's announcement of its engine; returns whether the engine is new. It is used
+    /// without an identifier until the list has it: only the list holds the engine's own.
     pub fn announced(&mut self, now: Time, here: &EngineHere) -> bool {
         if self.key_at(here.address).is_some() {
             return false;
         }
-        let id = Name::new(format!("{UNLISTED}{}", here.address));
-        self.put(now, &unlisted(id, here));
+        let id = Name::new(format!("{UNLISTED_PREFIX}{}", here.address));
+        self.upsert(now, &unlisted_record(id, here));
         true
     }
 
-    /// A scout says under which identifier its engine lives; whether that is news. The list may name a
-    /// former life at the address: that one has ended. Where the list has nothing there, the engine
-    /// counts by the list's word only, since it may be one that leaves without saying so.
+    /// Applies the engine identifier that a scout reports; returns whether it is new. The list may name a
+    /// previous incarnation at the address, which has then ended. If the list has no server at the
+    /// address, the report is ignored: the engine may be leaving without having announced it.
     pub fn identified(&mut self, now: Time, here: &EngineHere, id: &Name) -> bool {
         let Some(key) = self.key_at(here.address) else {
             return false;
@@ -40,158 +40,162 @@
         if record.id == *id || record.service != here.service {
             return false;
         }
-        self.lives.found(now, here.address, id);
+        self.incarnations.record_observed(now, here.address, id);
         self.replace(now, key, id);
         true
     }
 
-    /// A place at the engine at the address, for a run that a scout has moved there. Scouts know engines
-    /// that this entry has not heard of; the run alone may go there, and nothing else until the list has
-    /// it. `None` where a server at the address has left: it may be the one.
+    /// The key of the engine to which a scout has moved a run. Scouts know engines that this entry does
+    /// not: such an engine gets only this run until the list has it. `None` if a server at the address was
+    /// removed from the list: it may be that engine.
     pub fn adopted(&mut self, now: Time, engine: &EngineHere) -> Option<ServerKey> {
         if let Some(key) = self.key_at(engine.address) {
             return Some(key);
         }
-        if self.lives.has_left(now, engine.address) {
+        if self.incarnations.was_removed_at(now, engine.address) {
             return None;
         }
-        let id = Name::new(format!("{UNLISTED}{}", engine.address));
-        Some(self.insert(Server::new(unlisted(id, engine))))
+        let id = Name::new(format!("{UNLISTED_PREFIX}{}", engine.address));
+        Some(self.insert(Server::new(unlisted_record(id, engine))))
     }
 
-    /// Forgets engines that only their scouts told of, and whose scouts are silent now.
+    /// Removes engines that only their scouts have announced and whose scouts have become silent.
     pub fn trim_announced(&mut self, now: Time) {
         let announced = self
             .ids
             .iter()
-            .filter(|(id, _)| id.as_str().starts_with(UNLISTED));
+            .filter(|(id, _)| id.as_str().starts_with(UNLISTED_PREFIX));
         let silent = announced.filter(|(_, key)| {
             let server = &self.servers[**key];
-            server.report.is_some_and(|r| now.since(r.at) >= SCOUT_AGE)
+            server
+                .report
+                .is_some_and(|r| now.since(r.received_at) >= SCOUT_TIMEOUT)
         });
         let silent: Vec<Name> = silent.map(|(id, _)| id.clone()).collect();
         for id in silent {
-            self.gone(now, &id);
+            self.remove_listed(now, &id);
         }
     }
 
-    /// A report of an engine came; whether it is news that the engine leaves.
+    /// Applies a load report; returns whether it is the first sign that the engine is leaving.
     pub fn report(&mut self, now: Time, engine: &EngineHere, load: &EngineLoad) -> bool {
         let address = engine.address;
         if self.key_at(address).is_none() {
-            self.take_found(now, engine);
+            self.add_observed(now, engine);
         }
-        // One that has left the list may still run what it was sent, and its scout tells of it.
-        let there = self.addresses.get(&address).into_iter().flatten();
-        let told = there.copied().filter(|key| {
+        // A server that was removed from the list may still run its open requests and be reported.
+        let keys = self.addresses.get(&address).into_iter().flatten();
+        let matching = keys.copied().filter(|key| {
             let record = &self.servers[*key].record;
             let known = record.born;
-            let same_life = load.born.is_none_or(|born| born == known || known == 0);
-            record.service == engine.service && same_life
+            let same_incarnation = load.born.is_none_or(|born| born == known || known == 0);
+            record.service == engine.service && same_incarnation
         });
-        let Some(key) = told.max_by_key(|key| self.servers[*key].listed) else {
+        let Some(key) = matching.max_by_key(|key| self.servers[*key].listed) else {
             return false;
         };
-        let trip = self.round_trip(now, &self.servers[key].record.zone);
+        let round_trip = self.round_trip(now, &self.servers[key].record.zone);
         let server = &mut self.servers[key];
-        let turned = load.leaving && server.leaving.is_none();
-        if turned {
-            server.leaving = Some(now);
+        let started_leaving = load.leaving && server.leaving_since.is_none();
+        if started_leaving {
+            server.leaving_since = Some(now);
         }
         server.report = Some(Report {
-            at: now,
-            planned: load.planned.max(load.used),
-            unread: load.unread,
-            reads: match load.reads {
+            received_at: now,
+            peak_tokens: load.planned.max(load.used),
+            prefill_tokens: load.unread,
+            prefill_rate: match load.reads {
                 0 => prefill_rate::PRIOR,
-                reads => f64::from(reads) / 10.0,
+                rate => f64::from(rate) / 10.0,
             },
-            running: load.running + load.queued,
-            failing: f64::from(load.failing) / 100.0,
-            every: Duration::from_millis(u64::from(load.every)),
+            requests: load.running + load.queued,
+            failure_rate: f64::from(load.failing) / 100.0,
+            interval: Duration::from_millis(u64::from(load.every)),
         });
         server
             .cold
             .set_remaining(now, Duration::from_millis(u64::from(load.cold)));
-        let unseen = UNSEEN + trip;
-        server.unseen.retain(|sent| now.since(sent.at) < unseen);
-        turned
+        let lag = REPORT_LAG + round_trip;
+        server
+            .unreported
+            .retain(|sent| now.since(sent.sent_at) < lag);
+        started_leaving
     }
 
-    /// A scout has answered with its engine's load; whether it is news that the engine leaves. The answer counts
-    /// all that was sent to the engine, this entry's requests among it.
+    /// Applies a scout's answer to a load query; returns whether it is the first sign that the engine is
+    /// leaving. The answer includes all requests sent to the engine, also those of this entry.
     pub fn answered(&mut self, now: Time, engine: &EngineHere, load: &EngineLoad) -> bool {
-        let turned = self.report(now, engine, load);
+        let started_leaving = self.report(now, engine, load);
         if let Some(key) = self.key_at(engine.address) {
-            self.servers[key].unseen.clear();
+            self.servers[key].unreported.clear();
         }
-        turned
+        started_leaving
     }
 
-    /// A request found another server at the address than the expected one: that one has ended. The other
-    /// one takes its place at once where a scout has said what stands there; without such a word the
-    /// address may be another service's by now.
+    /// Records that a request found a different server at the address than the expected one, which has
+    /// ended. If the scout there has reported recently, the other server replaces it at once; otherwise
+    /// the address may belong to another service by now.
     pub fn is_other(&mut self, now: Time, key: ServerKey, other: &Name) {
         let Some(server) = self.servers.get(key) else {
             return;
         };
         let (id, address) = (server.record.id.clone(), server.record.address);
-        self.lives.found(now, address, other);
+        self.incarnations.record_observed(now, address, other);
         if self.ids.get(&id) != Some(&key) {
             return;
         }
         if self.has_scout(now, key) {
             self.replace(now, key, other);
         } else {
-            self.end(now, &id);
+            self.end_incarnation(now, &id);
         }
     }
 
-    /// The life at `key` has ended, and `id` is the one that stands there now. What its scout has said
-    /// of it still holds.
+    /// Replaces the incarnation at `key`, which has ended, by `id`. The last report of the scout is kept.
     fn replace(&mut self, now: Time, key: ServerKey, id: &Name) {
         let server = &self.servers[key];
         let report = server.report;
-        let former = server.record.clone();
-        self.end(now, &former.id);
+        let previous = server.record.clone();
+        self.end_incarnation(now, &previous.id);
         let record = ServerRecord {
             id: id.clone(),
             phase: ServerPhase::Ready,
             cold: Duration::ZERO,
             born: 0,
-            ..former
+            ..previous
         };
-        self.put(now, &record);
+        self.upsert(now, &record);
         if let Some(key) = self.ids.get(id) {
             let server = &mut self.servers[*key];
-            server.found = Some(now);
+            server.observed_since = Some(now);
             server.report = report;
         }
     }
 
-    /// The life under the identifier has ended, whatever the list says.
-    fn end(&mut self, now: Time, id: &Name) {
+    /// Removes the incarnation with the identifier, even if the list still has it.
+    fn end_incarnation(&mut self, now: Time, id: &Name) {
         if let Some(key) = self.ids.get(id) {
-            self.lives.ended(now, &self.servers[*key].record);
+            self.incarnations
+                .record_end(now, &self.servers[*key].record);
         }
-        self.gone(now, id);
+        self.remove_listed(now, id);
     }
 
-    /// Takes in an engine that a request has found at an address and whose scout says what it is, before
-    /// the list has it.
-    fn take_found(&mut self, now: Time, engine: &EngineHere) {
-        let Some(id) = self.lives.found_at(now, engine.address) else {
+    /// Adds an engine that a request has found at an address and whose scout has reported it, before the
+    /// list has it.
+    fn add_observed(&mut self, now: Time, engine: &EngineHere) {
+        let Some(id) = self.incarnations.observed_at(now, engine.address) else {
             return;
         };
-        self.put(now, &unlisted(id.clone(), engine));
+        self.upsert(now, &unlisted_record(id.clone(), engine));
         if let Some(key) = self.ids.get(&id) {
-            self.servers[*key].found = Some(now);
+            self.servers[*key].observed_since = Some(now);
         }
     }
 }
 
-/// The record of an engine that the list does not have.
-fn unlisted(id: Name, engine: &EngineHere) -> ServerRecord {
+/// The record of an engine that is not in the list.
+fn unlisted_record(id: Name, engine: &EngineHere) -> ServerRecord {
     ServerRecord {
         id,
         service: engine.service.clone(),
--- a/lib/src/fleet_server.rs
+++ b/lib/src/fleet_server.rs
@@ -1,8 +1,8 @@
-//! A backend server as one entry sees it: what runs there, and what it costs to send a request there.
+//! One entry's view of a backend server: the load there, and the cost of sending a request to it.
 //!
-//! An engine's memory is taken as the larger of what it reports and what this entry has placed there, grown
-//! to the expected end of each. Costs are in milliseconds of the first event's time. The load patterns
-//! that they are made for stand in `fleet`.
+//! An engine's memory use is estimated as the larger of what it reports and what this entry has sent
+//! there, each request counted at its expected final size. Costs are in milliseconds of time to first
+//! event. The module `fleet` describes the load patterns that they are designed for.
 
 use std::time::Duration;
 
@@ -18,63 +18,65 @@
 use crate::site::ServerRecord;
 use crate::time::Time;
 
-/// The weight of a millisecond of reading before the first event. One that is soon over hurts nobody,
-/// and counts as much as balance asks for.
-const READ_WEIGHT: f64 = 0.6;
+/// The weight of a millisecond of prefill before the first event. A short wait violates no objective,
+/// and weighs only as much as is needed to balance load.
+const PREFILL_WEIGHT: f64 = 0.6;
 
-/// Milliseconds of reading from which each one more may make the first event late, and its weight. The
-/// objectives are 1.5 s and more, and other requests come in between.
-const READ_LONG: f64 = 900.0;
-const READ_LATE: f64 = 3.0;
+/// Milliseconds of prefill beyond which each additional one may make the first event late, and its
+/// weight. The objectives are 1.5 s and more, and other requests are served in between.
+const LONG_PREFILL: f64 = 900.0;
+const LONG_PREFILL_WEIGHT: f64 = 3.0;
 
-/// The cost of a full memory, in milliseconds: for balance between engines, and the steeper part from
-/// the share at which an engine can no longer take in the runs of another one.
-const FILL: f64 = 120.0;
-const FILL_HIGH: f64 = 0.7;
-const FILL_STEEP: f64 = 900.0;
+/// The cost of full memory, in milliseconds, which balances engines; and the fill level from which an
+/// engine can no longer take over the runs of another one, with the additional cost from there on.
+const MEMORY_COST: f64 = 120.0;
+const HIGH_FILL: f64 = 0.7;
+const HIGH_FILL_COST: f64 = 900.0;
 
-/// How much a running request slows the ones beside it, in milliseconds of the first event's time.
-const CROWDING: f64 = 3.0;
+/// How much each running request slows down the others, in milliseconds of time to first event.
+const RUNNING_COST: f64 = 3.0;
 
-/// The part of an engine's memory that is planned with: what grows beyond its expectation needs the
-/// rest.
-const MEMORY_PART: f64 = 0.95;
+/// The fraction of an engine's memory that is allocated to expected sizes. The rest is for requests that
+/// grow beyond them.
+const USABLE_MEMORY: f64 = 0.95;
 
-/// The cost of a request that does not fit, in milliseconds for each time its size is lacking.
-const LACK: f64 = 4_000.0;
+/// The cost of a request that does not fit, in milliseconds for each multiple of its size that is
+/// missing.
+const SHORTAGE_COST: f64 = 4_000.0;
 
-/// The cost of an engine that fails all of its requests, in milliseconds. One that fails a fifth costs more
-/// than the way to another region and a full memory together, and less than what does not fit elsewhere.
-const FAILING: f64 = 2_500.0;
+/// The cost of an engine that fails all of its requests, in milliseconds. An engine that fails a fifth of
+/// them costs more than a round trip to another region and full memory together, and less than a request
+/// that does not fit elsewhere.
+const FAILURE_COST: f64 = 2_500.0;
 
-/// How long a request that was sent does not show in the reports that come back, beside the round trip: the time
-/// between two reports, and for which a process waits for its turn.
-pub(crate) const UNSEEN: Duration = Duration::from_millis(60);
+/// How long a request that was sent is missing from incoming reports, beyond the round trip: the interval
+/// between two reports, and the scheduling delay of a process.
+pub(crate) const REPORT_LAG: Duration = Duration::from_millis(60);
 
-/// The cost of a request whose region has no room for the runs of an engine that leaves, in
-/// milliseconds, where it is one request's size short. Another region's engine costs 60 and a connection.
-const NO_RETREAT: f64 = 300.0;
+/// The cost, in milliseconds, of a request whose region is one request's size short of the memory to take
+/// over the runs of a departing engine. An engine of another region costs 60 and a connection.
+const NO_HEADROOM_COST: f64 = 300.0;
 
-/// The part of the memory of a region's other engines that the runs of one that leaves may fill: they grow
-/// on while they move, and each must fit into one engine whole.
-const RETREAT_PART: f64 = 0.85;
+/// The fraction of the memory of a region's other engines that the runs of a departing engine may fill:
+/// runs keep growing while they are moved, and each must fit into a single engine.
+const HEADROOM_FRACTION: f64 = 0.85;
 
-/// The part of an engine's memory that a usual long request fills: eight and more run at once.
-const USUAL_PART: f64 = 0.125;
+/// The fraction of an engine's memory that a typical long request fills: eight or more run at once.
+const TYPICAL_FRACTION: f64 = 0.125;
 
-/// A report older than this says nothing any more.
-const REPORT_AGE: Duration = Duration::from_secs(3);
+/// Reports older than this are ignored.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
 
-/// What a request needs.
+/// The resources that a request needs, and the servers that it may be sent to.
 #[derive(Clone, Debug)]
 pub struct Need<'a> {
     /// The service.
     pub service: &'a Name,
-    /// Tokens of its prompt; zero for a plain call.
+    /// The tokens of its prompt; zero for a plain call.
     pub prompt: u64,
-    /// Tokens that it is expected to hold at its end; zero for a plain call.
+    /// The tokens of memory that it is expected to hold at its end; zero for a plain call.
     pub tokens: u64,
-    /// The servers that it has been to.
+    /// The servers that it was already sent to.
     pub tried: &'a [ServerKey],
     /// Restricts the choice to this availability zone.
     pub zone: Option<&'a Name>,
@@ -85,7 +87,7 @@
 }
 
 impl<'a> Need<'a> {
-    /// What a request needs that has been nowhere and may go anywhere.
+    /// A request that was sent to no server yet and may go to any.
     pub fn new(service: &'a Name, prompt: u64, tokens: u64) -> Self {
         Need {
             service,
@@ -98,224 +100,232 @@
         }
     }
 
-    /// Whether the server is one of those asked for, wherever it stands.
-    pub(crate) fn asks_for(&self, key: ServerKey, server: &Server) -> bool {
+    /// Whether the server takes work and matches the request, apart from its region.
+    pub(crate) fn matches(&self, key: ServerKey, server: &Server) -> bool {
         let record = &server.record;
-        let serves = server.usable() && record.service == *self.service;
-        let here = self.zone.is_none_or(|zone| *zone == record.zone);
+        let serves = server.takes_work() && record.service == *self.service;
+        let in_zone = self.zone.is_none_or(|zone| *zone == record.zone);
         let among = self.among.is_none_or(|among| among.contains(&key));
-        serves && here && among && !self.tried.contains(&key)
+        serves && in_zone && among && !self.tried.contains(&key)
     }
 }
 
-/// The load that a request would find at an engine.
+/// The load that a request would meet at an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Outlook {
-    /// The part of the engine's memory that is full at the highest point, this one among it.
+    /// The peak fill level of the engine's memory, as a fraction, including this request.
     pub memory: f64,
-    /// How long the engine reads the prompts that it has.
+    /// How long prefill of the prompts already there takes.
     pub before: Duration,
-    /// How long it reads this one's prompt.
+    /// How long prefill of this request's prompt takes.
     pub own: Duration,
-    /// Requests that run or wait there.
+    /// The number of requests that run or wait there.
     pub running: u32,
-    /// Requests that can run there at once.
+    /// The number of requests that can run there concurrently.
     pub slots: u32,
 }
 
-/// A backend server as this entry sees it.
+/// One entry's view of a backend server.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) record: ServerRecord,
-    // Whether the list still has it.
+    // Whether the list has it or, until then, its scout has announced it.
     pub(crate) listed: bool,
-    // Since when it is known by another word than the list's, while the list has not had it.
-    pub(crate) found: Option<Time>,
-    // When it was learnt that it leaves, by whichever way first.
-    pub(crate) leaving: Option<Time>,
-    // Requests of this entry that are there, and the tokens they are expected to hold.
-    pub(crate) open: u32,
-    pub(crate) tokens: u64,
-    // Tokens of prompts of this entry whose first event has not come.
-    pub(crate) unread: u64,
+    // When another source than the list named it; `None` once the list has it.
+    pub(crate) observed_since: Option<Time>,
+    // When this entry first learnt, from any source, that it is leaving.
+    pub(crate) leaving_since: Option<Time>,
+    // This entry's open requests there, and the tokens that they are expected to hold.
+    pub(crate) open_requests: u32,
+    pub(crate) expected_tokens: u64,
+    // Prompt tokens of this entry's requests whose first event is outstanding.
+    pub(crate) prefill_tokens: u64,
     pub(crate) report: Option<Report>,
-    // Requests of all entries that the report cannot show yet, in the order of time.
-    pub(crate) unseen: Vec<Unseen>,
-    // Failures since the last success, and until when it rests.
-    pub(crate) failures: u32,
-    pub(crate) rest: Time,
-    // Requests that a plain server said it has running and waiting, besides this entry's.
-    pub(crate) others: f64,
+    // Requests of all entries that the report cannot include yet, in order of time.
+    pub(crate) unreported: Vec<UnreportedRequest>,
+    // Failures since the last success, and the end of the resulting backoff.
+    pub(crate) consecutive_failures: u32,
+    pub(crate) backoff_until: Time,
+    // Running and waiting requests that a plain server reported, without this entry's.
+    pub(crate) other_requests: f64,
     pub(crate) cold: ColdState,
     pub(crate) limit: LimitState,
-    // Of a plain server that has answered.
-    pub(crate) work: Option<ServiceTime>,
+    // `None` until a plain server has answered.
+    pub(crate) work_time: Option<ServiceTime>,
 }
 
-/// An engine's last report.
+/// The latest report of an engine's load.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Report {
-    pub(crate) at: Time,
-    // Tokens at the highest point of what runs, and of what is under way.
-    pub(crate) planned: u64,
-    // Tokens of prompts that are still to be read, and that are read in a millisecond.
-    pub(crate) unread: u64,
-    pub(crate) reads: f64,
+    pub(crate) received_at: Time,
+    // Expected peak tokens of the running requests and of those on the way.
+    pub(crate) peak_tokens: u64,
+    // Prompt tokens whose prefill is outstanding, and tokens of prefill per millisecond.
+    pub(crate) prefill_tokens: u64,
+    pub(crate) prefill_rate: f64,
     // Requests that run or wait.
-    pub(crate) running: u32,
-    // The part of its requests that it has failed lately, 0 to 1.
-    pub(crate) failing: f64,
-    // The time between two reports while there is news.
-    pub(crate) every: Duration,
+    pub(crate) requests: u32,
+    // The fraction of its requests that failed recently, 0 to 1.
+    pub(crate) failure_rate: f64,
+    // The interval between reports while the load changes.
+    pub(crate) interval: Duration,
 }
 
-/// A request that was sent a moment ago.
+/// A request that was sent too recently to be included in a report.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Unseen {
-    pub(crate) at: Time,
+pub(crate) struct UnreportedRequest {
+    pub(crate) sent_at: Time,
     pub(crate) prompt: u64,
     pub(crate) tokens: u64,
 }
 
 /// The memory of the engines of one service in one region, in tokens.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct RegionRoom {
+pub(crate) struct RegionMemory {
     pub(crate) capacity: u64,
     pub(crate) used: u64,
-    // The memory of the largest engine.
+    // The capacity of the largest engine.
     pub(crate) largest: u64,
 }
 
-impl RegionRoom {
-    /// The cost of one more request of `tokens`, in milliseconds: it counts where the region's runs
-    /// would no longer fit when one engine leaves. Runs can only be moved within their region in time.
-    pub(crate) fn penalty(&self, tokens: u64) -> f64 {
-        let room = self.capacity.saturating_sub(self.largest) as f64 * RETREAT_PART;
-        let lack = (self.used + tokens) as f64 - room;
-        NO_RETREAT * (lack / tokens.max(1) as f64).clamp(0.0, 2.0)
+impl RegionMemory {
+    /// The cost of one more request of `tokens`, in milliseconds: positive if the region's runs would no
+    /// longer fit once one engine leaves. Runs can be moved in time only within their region.
+    pub(crate) fn headroom_cost(&self, tokens: u64) -> f64 {
+        let usable = self.capacity.saturating_sub(self.largest) as f64 * HEADROOM_FRACTION;
+        let shortage = (self.used + tokens) as f64 - usable;
+        NO_HEADROOM_COST * (shortage / tokens.max(1) as f64).clamp(0.0, 2.0)
     }
 }
 
 impl Server {
-    /// A server that the list does not have, and of which nothing is known.
+    /// Creates a server that is not listed and whose load is unknown.
     pub(crate) fn new(record: ServerRecord) -> Self {
         Server {
             record,
             listed: false,
-            found: None,
-            leaving: None,
-            open: 0,
-            tokens: 0,
-            unread: 0,
+            observed_since: None,
+            leaving_since: None,
+            open_requests: 0,
+            expected_tokens: 0,
+            prefill_tokens: 0,
             report: None,
-            unseen: Vec::new(),
-            failures: 0,
-            rest: Time::ZERO,
-            others: 0.0,
+            unreported: Vec::new(),
+            consecutive_failures: 0,
+            backoff_until: Time::ZERO,
+            other_requests: 0.0,
             cold: ColdState::default(),
             limit: LimitState::default(),
-            work: None,
+            work_time: None,
         }
     }
 
-    /// Tokens of memory that are taken, or will be when what runs there has grown, as far as this entry
-    /// knows.
-    pub(crate) fn used(&self, now: Time) -> u64 {
-        let unseen: u64 = self.unseen.iter().map(|sent| sent.tokens).sum();
+    /// The estimated peak of memory use, in tokens, once the requests there have grown to their expected
+    /// size.
+    pub(crate) fn used_tokens(&self, now: Time) -> u64 {
+        let unreported: u64 = self.unreported.iter().map(|sent| sent.tokens).sum();
         let reported = self
             .fresh_report(now)
-            .map_or(0, |report| report.planned + unseen);
-        reported.max(self.tokens)
+            .map_or(0, |report| report.peak_tokens + unreported);
+        reported.max(self.expected_tokens)
     }
 
-    /// The part of the memory that is full at the highest point, with `tokens` more. A large request counts
-    /// as [`USUAL_PART`], so that it is turned away no more often than others while it fits.
-    pub(crate) fn fill(&self, now: Time, tokens: u64, engine: &EngineSpec) -> f64 {
-        let part = |tokens: u64| tokens as f64 / engine.capacity.max(1) as f64;
-        let used = part(self.used(now));
-        let whole = used + part(tokens);
-        match whole > 1.0 {
-            true => whole,
-            false => used + part(tokens).min(USUAL_PART),
+    /// The peak fill level of the memory with `tokens` more, as a fraction. While it fits, a larger
+    /// request counts as [`TYPICAL_FRACTION`], so that it is refused no more often than others.
+    pub(crate) fn memory_fill(&self, now: Time, tokens: u64, engine: &EngineSpec) -> f64 {
+        let fraction = |tokens: u64| tokens as f64 / engine.capacity.max(1) as f64;
+        let used = fraction(self.used_tokens(now));
+        let total = used + fraction(tokens);
+        match total > 1.0 {
+            true => total,
+            false => used + fraction(tokens).min(TYPICAL_FRACTION),
         }
     }
 
-    /// Requests that run or wait there, as far as this entry knows.
-    pub(crate) fn running(&self, now: Time) -> u32 {
+    /// The estimated number of requests that run or wait there.
+    pub(crate) fn requests(&self, now: Time) -> u32 {
         let reported = self
             .fresh_report(now)
-            .map_or(0, |report| report.running + self.unseen.len() as u32);
-        reported.max(self.open)
+            .map_or(0, |report| report.requests + self.unreported.len() as u32);
+        reported.max(self.open_requests)
     }
 
     pub(crate) fn fresh_report(&self, now: Time) -> Option<Report> {
-        self.report.filter(|r| now.since(r.at) < REPORT_AGE)
+        self.report
+            .filter(|r| now.since(r.received_at) < MAX_REPORT_AGE)
     }
 
-    pub(crate) fn sent(&mut self, now: Time, prompt: u64, tokens: u64) {
-        self.unseen.retain(|sent| now.since(sent.at) < REPORT_AGE);
-        self.unseen.push(Unseen {
-            at: now,
+    pub(crate) fn record_unreported(&mut self, now: Time, prompt: u64, tokens: u64) {
+        self.unreported
+            .retain(|sent| now.since(sent.sent_at) < MAX_REPORT_AGE);
+        self.unreported.push(UnreportedRequest {
+            sent_at: now,
             prompt,
             tokens,
         });
     }
 
-    pub(crate) fn usable(&self) -> bool {
-        self.listed && self.leaving.is_none()
+    pub(crate) fn takes_work(&self) -> bool {
+        self.listed && self.leaving_since.is_none()
     }
 
     pub(crate) fn engine_cost(&self, now: Time, need: &Need<'_>, engine: &EngineSpec) -> f64 {
-        let reading = self.unread(now) + need.prompt as f64;
-        let used = (self.used(now) + need.tokens) as f64;
-        let running = f64::from(self.running(now));
-        let full = (running + 1.0 - f64::from(engine.slots)).max(0.0);
-        let room = engine.capacity as f64 * MEMORY_PART;
-        let lack = (used - room).max(0.0) / (need.tokens.max(1) as f64);
-        let wait = read_cost(reading / self.reads(now));
-        let failing = self.fresh_report(now).map_or(0.0, |report| report.failing);
-        let crowd = running * CROWDING + fill_cost(used / room) + (lack + full) * LACK;
-        wait + crowd + failing * FAILING
+        let prefill = self.pending_prefill(now) + need.prompt as f64;
+        let used = (self.used_tokens(now) + need.tokens) as f64;
+        let requests = f64::from(self.requests(now));
+        let waiting = (requests + 1.0 - f64::from(engine.slots)).max(0.0);
+        let usable = engine.capacity as f64 * USABLE_MEMORY;
+        let shortage = (used - usable).max(0.0) / (need.tokens.max(1) as f64);
+        let wait = prefill_cost(prefill / self.prefill_rate(now));
+        let failure_rate = self
+            .fresh_report(now)
+            .map_or(0.0, |report| report.failure_rate);
+        let load = requests * RUNNING_COST
+            + memory_cost(used / usable)
+            + (shortage + waiting) * SHORTAGE_COST;
+        wait + load + failure_rate * FAILURE_COST
     }
 
-    /// Tokens of prompts that the engine has still to read, as far as this entry knows.
-    fn unread(&self, now: Time) -> f64 {
-        let unseen: u64 = self.unseen.iter().map(|sent| sent.prompt).sum();
-        let reported = self.fresh_report(now).map_or(0, |report| report.unread);
-        (reported + unseen).max(self.unread) as f64
+    /// The estimated prompt tokens there whose prefill is outstanding.
+    fn pending_prefill(&self, now: Time) -> f64 {
+        let unreported: u64 = self.unreported.iter().map(|sent| sent.prompt).sum();
+        let reported = self
+            .fresh_report(now)
+            .map_or(0, |report| report.prefill_tokens);
+        (reported + unreported).max(self.prefill_tokens) as f64
     }
 
-    /// How long the engine takes to read the prompts that it has.
-    pub(crate) fn reading(&self, now: Time) -> Duration {
-        self.reading_time(now, self.unread(now))
+    /// How long prefill of the prompts already there takes.
+    pub(crate) fn prefill_backlog(&self, now: Time) -> Duration {
+        self.prefill_time(now, self.pending_prefill(now))
     }
 
-    /// How long the engine takes to read the tokens of prompts.
-    pub(crate) fn reading_time(&self, now: Time, tokens: f64) -> Duration {
-        Duration::from_secs_f64(tokens / self.reads(now) / 1_000.0)
+    /// How long prefill of this many tokens takes.
+    pub(crate) fn prefill_time(&self, now: Time, tokens: f64) -> Duration {
+        Duration::from_secs_f64(tokens / self.prefill_rate(now) / 1_000.0)
     }
 
-    /// Tokens of prompts that the engine reads in a millisecond.
-    fn reads(&self, now: Time) -> f64 {
+    /// Tokens of prefill per millisecond.
+    fn prefill_rate(&self, now: Time) -> f64 {
         let report = self.fresh_report(now);
-        report.map_or(prefill_rate::PRIOR, |report| report.reads)
+        report.map_or(prefill_rate::PRIOR, |report| report.prefill_rate)
     }
 
-    /// The cost of a plain server's queue, in milliseconds, where a call takes so long.
-    pub(crate) fn queue_cost(&self, work: Duration) -> f64 {
-        let step = work.as_secs_f64() * 1_000.0;
-        let busy = f64::from(self.open) + self.others;
+    /// The cost of a plain server's queue, in milliseconds, given the time that one call takes.
+    pub(crate) fn queue_cost(&self, work_time: Duration) -> f64 {
+        let call_ms = work_time.as_secs_f64() * 1_000.0;
+        let busy = f64::from(self.open_requests) + self.other_requests;
         let slots = f64::from(self.record.slots.max(1));
-        busy / slots * step / 2.0 + (busy + 1.0 - slots).max(0.0) * step
+        busy / slots * call_ms / 2.0 + (busy + 1.0 - slots).max(0.0) * call_ms
     }
 }
 
-/// The cost of a wait for prompts to be read, in milliseconds.
-fn read_cost(wait: f64) -> f64 {
-    wait * READ_WEIGHT + (wait - READ_LONG).max(0.0) * READ_LATE
+/// The cost of waiting for prefill, in milliseconds.
+fn prefill_cost(wait: f64) -> f64 {
+    wait * PREFILL_WEIGHT + (wait - LONG_PREFILL).max(0.0) * LONG_PREFILL_WEIGHT
 }
 
-/// The cost of a memory that is filled to a part, in milliseconds.
-fn fill_cost(fill: f64) -> f64 {
-    fill * FILL + (fill - FILL_HIGH).max(0.0) * FILL_STEEP
+/// The cost of memory at a fill level, in milliseconds.
+fn memory_cost(fill: f64) -> f64 {
+    fill * MEMORY_COST + (fill - HIGH_FILL).max(0.0) * HIGH_FILL_COST
 }
--- a/lib/src/server_limit.rs
+++ b/lib/src/server_limit.rs
@@ -1,12 +1,14 @@
-//! Request limits that backend servers name: how many requests a second a server takes from all entries together.
+//! Request rate limits that backend servers announce: how many requests per second a server accepts
+//! from all entries together.
 //!
-//! Load pattern: a server in need names its limit in its answers, for as long as it holds, while callers come to
-//! all entries as before. Entries that each keep to the limit send a multiple of it; entries that each send one
-//! request at once, after a quiet time, exceed it as well where there are many of them.
+//! Load pattern: an overloaded server announces a limit in its responses for as long as the limit is in
+//! force, while the load on the entries stays the same. Entries that each apply the whole limit send a
+//! multiple of it. Many entries that each send one request after an idle period exceed it as well.
 //!
-//! So the limit is dealt to as many entries as it allows requests a second and a few more, each with a token bucket
-//! of one request; the other entries send one now and then, to hear whether the limit still holds. Answers overtake
-//! each other, so that one without a limit lifts it only where its request was sent after the limit was known.
+//! The limit is therefore divided among a subset of the entries, one for each request per second and a
+//! few more, and each of these has a token bucket of one request. The other entries send an occasional
+//! request to find out whether the limit is still in force. Responses can be reordered, so a response
+//! without a limit lifts the limit only if its request was sent after the limit became known.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,100 +19,100 @@
 use crate::time::Time;
 use crate::value_type;
 
-/// Thousandths in one.
+/// The factor between requests per second and the unit of [`RequestRate`].
 const THOUSANDTHS: f64 = 1_000.0;
 
-/// Limits below this count as this one: a server that takes nothing is asked now and then whether that still holds.
-const LEAST_RATE: f64 = 0.1;
+/// Lower limits are raised to this one, so that a server which accepts nothing still gets an occasional
+/// request, whose response shows whether the limit is still in force.
+const MIN_RATE: f64 = 0.1;
 
-/// Entries with a share, beyond one for each request a second of the limit. They are few, since all of them may send the
-/// request that they have saved up at once.
-const MORE_ENTRIES: f64 = 2.0;
+/// The number of entries with a share beyond one for each request per second of the limit. It is small
+/// because all these entries may send their accumulated request at the same time.
+const EXTRA_ENTRIES: f64 = 2.0;
 
-/// The time over which an entry with a large share may save up requests.
-const BURST: Duration = Duration::from_millis(250);
+/// The time over which an entry with a large share may accumulate requests.
+const BURST_PERIOD: Duration = Duration::from_millis(250);
 
-/// The part of the limit that entries without a share may send.
-const UNSHARED_PART: f64 = 0.125;
+/// The fraction of the limit that all entries without a share may send together.
+const PROBE_FRACTION: f64 = 0.125;
 
-/// How long others are told that a limit was lifted.
-const TOLD_LIFTED: Duration = Duration::from_secs(10);
+/// How long other entries are notified that a limit was lifted.
+const LIFTED_REPORT_PERIOD: Duration = Duration::from_secs(10);
 
 copy_type! {
-    /// Requests a second, in thousandths.
+    /// A request rate, in thousandths of a request per second.
     pub struct RequestRate(u32);
 
-    /// What has changed of a server's limit.
+    /// A change of a server's limit.
     pub enum LimitChange {
-        /// It names one, and has named none before.
+        /// The server announces a limit and had none before.
         Named(RequestRate),
-        /// It names another one than before.
+        /// The server announces a different limit.
         Changed(RequestRate),
-        /// It names none any more.
+        /// The server no longer announces a limit.
         Lifted,
     }
 }
 
 value_type! {
-    /// What one entry tells others of a server's limit.
+    /// One entry's report of a server's limit to other entries.
     pub struct LimitWord {
         /// The server's identifier.
         pub server: Name,
-        /// The limit; `None` where it was lifted.
+        /// The limit; `None` if it was lifted.
         pub limit: Option<RequestRate>,
-        /// Milliseconds since an answer said so.
+        /// Milliseconds since the response that the report is based on.
         pub age: u32,
     }
 }
 
 impl RequestRate {
-    /// The rate; `None` for a negative number or none at all. Saturates.
+    /// Creates a rate; `None` if the number is negative or NaN. Saturates at the largest rate.
     pub fn new(per_second: f64) -> Option<Self> {
         let thousandths = (per_second * THOUSANDTHS).round();
         (per_second >= 0.0).then_some(RequestRate(thousandths as u32))
     }
 
-    /// Requests a second.
+    /// The rate in requests per second.
     pub fn per_second(self) -> f64 {
         f64::from(self.0) / THOUSANDTHS
     }
 }
 
-/// What an entry may send to a server at its limit.
+/// The requests that an entry may send to a server with a limit.
 #[derive(Clone, Copy, Debug)]
 enum Share {
-    /// So many requests a second.
+    /// A rate in requests per second.
     Rate(f64),
-    /// One request in a second for which it is drawn, with this probability.
-    Turn(f64),
+    /// One request in each second for which the entry is sampled, with this probability.
+    Sampled(f64),
 }
 
 impl Share {
     fn new(rate: RequestRate, entries: &EntryShares, server: SocketAddr) -> Self {
-        let rate = rate.per_second().max(LEAST_RATE);
+        let rate = rate.per_second().max(MIN_RATE);
         let all = entries.count().unwrap_or(1);
-        let sharing = ((rate + MORE_ENTRIES) as usize).min(all);
+        let sharing = ((rate + EXTRA_ENTRIES) as usize).min(all);
         match entries.is_drawn(server, sharing) {
             true => Share::Rate(rate / sharing as f64),
-            false => Share::Turn(rate * UNSHARED_PART / all as f64),
+            false => Share::Sampled(rate * PROBE_FRACTION / all as f64),
         }
     }
 }
 
-/// What is known of a server's limit, and what this entry has sent there since.
+/// The known limit of a server, and this entry's token bucket for it.
 #[derive(Clone, Debug, Default)]
 pub struct LimitState {
-    stated: Option<Statement>,
-    // Requests that may be sent as of the time; below zero where more were sent than the share.
+    known: Option<KnownLimit>,
+    // Requests that could be sent at `refilled_at`; negative if more than the share were sent.
     tokens: f64,
-    at: Time,
-    // When one was sent last.
-    sent: Time,
+    refilled_at: Time,
+    last_sent: Time,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Statement {
-    // `None` where the limit was lifted.
+struct KnownLimit {
+    // `None` if the limit was lifted.
     rate: Option<RequestRate>,
     at: Time,
 }
@@ -118,50 +120,50 @@
 impl LimitState {
     /// The limit in force.
     pub fn rate(&self) -> Option<RequestRate> {
-        self.stated.and_then(|stated| stated.rate)
+        self.known.and_then(|known| known.rate)
     }
 
-    /// An answer to a request that was sent at `sent` names the limit, or none.
-    pub fn answered(
+    /// Applies the limit in a response to a request that was sent at `sent`, or the absence of one.
+    pub fn record_response(
         &mut self,
         now: Time,
         sent: Time,
         limit: Option<RequestRate>,
     ) -> Option<LimitChange> {
-        let known = self.stated.map_or(Time::ZERO, |stated| stated.at);
-        if limit.is_none() && (self.rate().is_none() || sent < known) {
+        let known_since = self.known.map_or(Time::ZERO, |known| known.at);
+        if limit.is_none() && (self.rate().is_none() || sent < known_since) {
             return None;
         }
-        self.state(now, now, limit)
+        self.set(now, now, limit)
     }
 
-    /// Another entry tells of the limit. The latest word holds.
-    pub fn heard(&mut self, now: Time, word: &LimitWord) -> Option<LimitChange> {
-        let at = now.before(Duration::from_millis(u64::from(word.age)));
-        match self.stated {
-            Some(stated) if stated.at >= at => None,
-            _ => self.state(now, at, word.limit),
+    /// Applies another entry's report if it is newer than what is known.
+    pub fn apply_report(&mut self, now: Time, report: &LimitWord) -> Option<LimitChange> {
+        let at = now.before(Duration::from_millis(u64::from(report.age)));
+        match self.known {
+            Some(known) if known.at >= at => None,
+            _ => self.set(now, at, report.limit),
         }
     }
 
-    /// What others are told, if there is something to tell.
-    pub fn word(&self, now: Time, server: &Name) -> Option<LimitWord> {
-        let stated = self.stated?;
-        let age = now.since(stated.at);
-        (stated.rate.is_some() || age < TOLD_LIFTED).then(|| LimitWord {
+    /// The report to other entries: of a limit in force, or of one that was lifted recently.
+    pub fn report(&self, now: Time, server: &Name) -> Option<LimitWord> {
+        let known = self.known?;
+        let age = now.since(known.at);
+        (known.rate.is_some() || age < LIFTED_REPORT_PERIOD).then(|| LimitWord {
             server: server.clone(),
-            limit: stated.rate,
+            limit: known.rate,
             age: age.as_millis() as u32,
         })
     }
 
-    fn state(&mut self, now: Time, at: Time, limit: Option<RequestRate>) -> Option<LimitChange> {
+    fn set(&mut self, now: Time, at: Time, limit: Option<RequestRate>) -> Option<LimitChange> {
         let before = self.rate();
-        self.stated = Some(Statement { rate: limit, at });
+        self.known = Some(KnownLimit { rate: limit, at });
         match (before, limit) {
             (None, Some(rate)) => {
                 self.tokens = 0.0;
-                self.at = now;
+                self.refilled_at = now;
                 Some(LimitChange::Named(rate))
             }
             (Some(before), Some(rate)) if before != rate => Some(LimitChange::Changed(rate)),
@@ -170,45 +172,45 @@
         }
     }
 
-    /// How long until this entry may send a request to the server at the address; zero where it may now, `None` where it
-    /// has no share.
+    /// How long until this entry may send a request to the server at the address; zero if it may send
+    /// one now, `None` if it has no share.
     pub fn wait(&self, now: Time, server: SocketAddr, entries: &EntryShares) -> Option<Duration> {
         let Some(rate) = self.rate() else {
             return Some(Duration::ZERO);
         };
         match Share::new(rate, entries, server) {
             Share::Rate(share) => {
-                let lacking = (1.0 - self.tokens(now, share)).max(0.0);
-                Some(Duration::from_secs_f64(lacking / share))
+                let missing = (1.0 - self.available_tokens(now, share)).max(0.0);
+                Some(Duration::from_secs_f64(missing / share))
             }
-            Share::Turn(probability) => {
-                let sent = turn(self.sent) == turn(now);
-                let drawn = !sent && entries.is_in_turn(server, turn(now), probability);
-                drawn.then_some(Duration::ZERO)
+            Share::Sampled(probability) => {
+                let sent = whole_seconds(self.last_sent) == whole_seconds(now);
+                let sampled = !sent && entries.is_in_turn(server, whole_seconds(now), probability);
+                sampled.then_some(Duration::ZERO)
             }
         }
     }
 
-    /// A request was sent to the server at the address.
-    pub(crate) fn sent(&mut self, now: Time, server: SocketAddr, entries: &EntryShares) {
+    /// Records a request sent to the server at the address.
+    pub(crate) fn record_sent(&mut self, now: Time, server: SocketAddr, entries: &EntryShares) {
         let Some(rate) = self.rate() else {
             return;
         };
         if let Share::Rate(share) = Share::new(rate, entries, server) {
-            self.tokens = self.tokens(now, share) - 1.0;
-            self.at = now;
+            self.tokens = self.available_tokens(now, share) - 1.0;
+            self.refilled_at = now;
         }
-        self.sent = now;
+        self.last_sent = now;
     }
 
-    fn tokens(&self, now: Time, share: f64) -> f64 {
-        let most = (share * BURST.as_secs_f64()).max(1.0);
-        let saved = share * now.since(self.at).as_secs_f64();
-        (self.tokens + saved).min(most)
+    fn available_tokens(&self, now: Time, share: f64) -> f64 {
+        let capacity = (share * BURST_PERIOD.as_secs_f64()).max(1.0);
+        let refill = share * now.since(self.refilled_at).as_secs_f64();
+        (self.tokens + refill).min(capacity)
     }
 }
 
-/// The second in which a time lies.
-fn turn(at: Time) -> u64 {
+/// The number of the second in which a time lies.
+fn whole_seconds(at: Time) -> u64 {
     at.seconds() as u64
 }
--- a/lib/src/server_lives.rs
+++ b/lib/src/server_lives.rs
@@ -1,12 +1,13 @@
-//! What is known of the lives of backend servers beyond the list: which have ended, which have begun.
+//! Incarnations of backend servers: which have ended and which have started, as far as the server
+//! list does not show it yet.
 //!
-//! Load pattern: all hosts lose power at once and are back within two seconds, with callers who have
-//! waited since. The list names the servers' former lives until those lapse, four seconds and more. Each
-//! request finds another server at the address, goes on to the next one, and is turned away after a few;
-//! and each reading of the list brings the dead ones back.
+//! Load pattern: all hosts lose power at once and are back within two seconds, while callers wait.
+//! The list names the previous incarnations until their entries lapse, four seconds later or more.
+//! Each request finds a different server at the address than the one expected, goes on to the next
+//! address and is refused after a few; and each read of the list brings the dead servers back.
 //!
-//! So an end that was seen outlasts the list's word, and a life that was found at an address is kept until
-//! the list can have it.
+//! An observed end therefore overrides the list, and an incarnation that was observed at an address
+//! is kept until the list can have it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,99 +17,106 @@
 use crate::site::ServerRecord;
 use crate::time::Time;
 
-/// How long an end that was seen counts for more than the list: entries lapse after three heartbeats of
-/// about a second, and later where the directory was away. Were the word of the end wrong, the server
-/// would stand idle for no longer than this.
-const ENDED: Duration = Duration::from_secs(8);
+/// How long an observed end overrides the list. Entries lapse after three heartbeats of about a
+/// second, and later when the directory was unavailable. A server that is wrongly held to have ended
+/// is idle for no longer than this.
+const ENDED_RETENTION: Duration = Duration::from_secs(8);
 
-/// How long an identifier counts that was found at an address, or that the list does not have yet: a
-/// server that starts writes its entry within a heartbeat or two.
-const FOUND: Duration = Duration::from_secs(4);
+/// How long an identifier observed at an address is used before the list has it: a server that
+/// starts writes its entry within a heartbeat or two.
+const OBSERVED_RETENTION: Duration = Duration::from_secs(4);
 
-/// How long a server that has left the list may still be there: it serves on for some seconds, at times
-/// for many.
-const LEFT: Duration = Duration::from_secs(30);
+/// How long a server that was removed from the list may still run: most serve for some seconds more,
+/// some for many.
+const REMOVED_RETENTION: Duration = Duration::from_secs(30);
 
-/// How long a life that has left counts as gone where the directory has gone back to a copy that still lists it: until
-/// its entry has lapsed there.
-const BARRED: Duration = Duration::from_secs(8);
+/// How long a removed incarnation is ignored when the directory was rolled back to a copy that still
+/// lists it: until its entry has lapsed there.
+const SUPPRESSED_RETENTION: Duration = Duration::from_secs(8);
 
-/// Ends and beginnings that were seen lately.
+/// Recently observed ends and starts of servers.
 #[derive(Debug, Default)]
-pub(crate) struct ServerLives {
-    // When each life ended, with its start: the identifier alone may come back.
+pub(crate) struct ServerIncarnations {
+    // When each incarnation ended, and its start time: the identifier alone may be used again.
     ended: HashMap<Name, (Time, u64)>,
-    // When a server at the address left the list.
-    left: HashMap<SocketAddr, Time>,
-    // When each life left the list, with its start.
-    departed: HashMap<Name, (Time, u64)>,
-    // Lives that had left before the directory went back, with their starts, and when that was noticed.
-    barred: HashMap<Name, (Time, u64)>,
-    // Identifiers that were found at addresses in place of the expected ones.
-    found: HashMap<SocketAddr, (Time, Name)>,
+    // When a server at the address was removed from the list.
+    removed_addresses: HashMap<SocketAddr, Time>,
+    // When each incarnation was removed from the list, and its start time.
+    removed: HashMap<Name, (Time, u64)>,
+    // Incarnations that were removed before the directory was rolled back: when the rollback was
+    // noticed, and their start times.
+    suppressed: HashMap<Name, (Time, u64)>,
+    // Identifiers that were observed at addresses in place of the expected ones.
+    observed: HashMap<SocketAddr, (Time, Name)>,
 }
 
-impl ServerLives {
-    /// The record's life has ended.
-    pub(crate) fn ended(&mut self, now: Time, record: &ServerRecord) {
-        self.ended.retain(|_, (at, _)| now.since(*at) < ENDED);
+impl ServerIncarnations {
+    /// Records that the record's incarnation has ended.
+    pub(crate) fn record_end(&mut self, now: Time, record: &ServerRecord) {
+        self.ended
+            .retain(|_, (at, _)| now.since(*at) < ENDED_RETENTION);
         self.ended.insert(record.id.clone(), (now, record.born));
     }
 
-    /// Whether the life that the record tells of is known to have ended.
+    /// Whether the record's incarnation is known to have ended.
     pub(crate) fn has_ended(&self, now: Time, record: &ServerRecord) -> bool {
         self.ended
             .get(&record.id)
-            .is_some_and(|(at, born)| now.since(*at) < ENDED && *born == record.born)
+            .is_some_and(|(at, born)| now.since(*at) < ENDED_RETENTION && *born == record.born)
     }
 
-    /// The server has left the list.
-    pub(crate) fn left(&mut self, now: Time, record: &ServerRecord) {
-        self.left.retain(|_, at| now.since(*at) < LEFT);
-        self.left.insert(record.address, now);
-        self.departed.retain(|_, (at, _)| now.since(*at) < LEFT);
-        self.departed.insert(record.id.clone(), (now, record.born));
+    /// Records that the server was removed from the list.
+    pub(crate) fn record_removal(&mut self, now: Time, record: &ServerRecord) {
+        self.removed_addresses
+            .retain(|_, at| now.since(*at) < REMOVED_RETENTION);
+        self.removed_addresses.insert(record.address, now);
+        self.removed
+            .retain(|_, (at, _)| now.since(*at) < REMOVED_RETENTION);
+        self.removed.insert(record.id.clone(), (now, record.born));
     }
 
-    /// The directory has gone back to a copy, which may list lives that have left.
-    pub(crate) fn directory_returned(&mut self, now: Time) {
-        let departed = std::mem::take(&mut self.departed).into_iter();
-        let barred = departed.map(|(id, (_, born))| (id, (now, born)));
-        self.barred.extend(barred);
+    /// Suppresses the removed incarnations, which the older copy of the directory may list again.
+    pub(crate) fn directory_rolled_back(&mut self, now: Time) {
+        let removed = std::mem::take(&mut self.removed).into_iter();
+        let suppressed = removed.map(|(id, (_, born))| (id, (now, born)));
+        self.suppressed.extend(suppressed);
     }
 
-    /// Whether a list names the record's life though it had left before the directory went back.
-    pub(crate) fn is_barred(&self, now: Time, record: &ServerRecord) -> bool {
-        let barred = self.barred.get(&record.id);
-        barred.is_some_and(|(at, born)| now.since(*at) < BARRED && *born == record.born)
+    /// Whether the record's incarnation was removed before the directory was rolled back.
+    pub(crate) fn is_suppressed(&self, now: Time, record: &ServerRecord) -> bool {
+        let suppressed = self.suppressed.get(&record.id);
+        suppressed
+            .is_some_and(|(at, born)| now.since(*at) < SUPPRESSED_RETENTION && *born == record.born)
     }
 
-    /// The server has written its entry, whatever was known of it before.
-    pub(crate) fn wrote(&mut self, now: Time, id: &Name) {
-        self.barred.retain(|_, (at, _)| now.since(*at) < BARRED);
-        self.barred.remove(id);
+    /// Lifts the suppression of a server that has written its entry again.
+    pub(crate) fn entry_written(&mut self, now: Time, id: &Name) {
+        self.suppressed
+            .retain(|_, (at, _)| now.since(*at) < SUPPRESSED_RETENTION);
+        self.suppressed.remove(id);
     }
 
-    /// Whether a server at the address left the list lately, and may still be there.
-    pub(crate) fn has_left(&self, now: Time, address: SocketAddr) -> bool {
-        let at = self.left.get(&address);
-        at.is_some_and(|at| now.since(*at) < LEFT)
+    /// Whether a server at the address was removed from the list recently and may still run there.
+    pub(crate) fn was_removed_at(&self, now: Time, address: SocketAddr) -> bool {
+        let at = self.removed_addresses.get(&address);
+        at.is_some_and(|at| now.since(*at) < REMOVED_RETENTION)
     }
 
-    /// A server of this identifier answers at the address.
-    pub(crate) fn found(&mut self, now: Time, address: SocketAddr, id: &Name) {
+    /// Records that the server with this identifier answers at the address.
+    pub(crate) fn record_observed(&mut self, now: Time, address: SocketAddr, id: &Name) {
         self.ended.remove(id);
-        self.found.insert(address, (now, id.clone()));
+        self.observed.insert(address, (now, id.clone()));
     }
 
-    /// The identifier that was found at the address lately.
-    pub(crate) fn found_at(&mut self, now: Time, address: SocketAddr) -> Option<Name> {
-        self.found.retain(|_, (at, _)| now.since(*at) < FOUND);
-        self.found.get(&address).map(|(_, id)| id.clone())
+    /// The identifier that was observed at the address recently.
+    pub(crate) fn observed_at(&mut self, now: Time, address: SocketAddr) -> Option<Name> {
+        self.observed
+            .retain(|_, (at, _)| now.since(*at) < OBSERVED_RETENTION);
+        self.observed.get(&address).map(|(_, id)| id.clone())
     }
 
-    /// Whether a server that was found at `since` need not be in the list yet.
-    pub(crate) fn is_young(now: Time, since: Time) -> bool {
-        now.since(since) < FOUND
+    /// Whether a server observed at `since` may still be missing from the list.
+    pub(crate) fn may_be_unlisted(now: Time, since: Time) -> bool {
+        now.since(since) < OBSERVED_RETENTION
     }
 }
--- a/lib/tests/server_limit.rs
+++ b/lib/tests/server_limit.rs
@@ -1,4 +1,4 @@
-//! Limits that backend servers name in their answers.
+//! Tests of the rate limits that backend servers announce in their responses.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,25 +20,27 @@
 
 const SECOND: u64 = 1_000;
 
-/// The time over which arrivals at a server are counted.
+/// The window, in milliseconds, in which arrivals at a server are counted.
 const WINDOW: u64 = 4 * SECOND;
 
-/// How long an entry has known a limit before its requests count.
-const KNOWN: u64 = 500;
+/// How long, in milliseconds, an entry must have known the limit for its requests to count.
+const NOTICE: u64 = 500;
 
-/// When the server begins to name its limit, when callers pause and come back, and when the limit ends.
-const NAMED: u64 = 2 * SECOND;
-const QUIET: u64 = 12 * SECOND;
-const STORM: u64 = 27 * SECOND;
-const LIFTED: u64 = 37 * SECOND;
+/// Times, in milliseconds: the server announces its limit, callers pause and come back, the limit is
+/// lifted, the simulation ends.
+const LIMIT_START: u64 = 2 * SECOND;
+const PAUSE_START: u64 = 12 * SECOND;
+const PAUSE_END: u64 = 27 * SECOND;
+const LIMIT_END: u64 = 37 * SECOND;
 const END: u64 = 55 * SECOND;
 
-/// The longest way to the server and back, and the time that it works on a request, in milliseconds.
-const WAY: u64 = 40;
-const WORK: u64 = 30;
+/// The longest network delay in each direction, and the time that the server takes for a request, in
+/// milliseconds.
+const MAX_DELAY: u64 = 40;
+const WORK_TIME: u64 = 30;
 
-/// The time between two words of an entry to others, in milliseconds, and the entries that get one.
-const HELLO: u64 = 400;
+/// The interval at which an entry gossips, in milliseconds, and the number of entries that it contacts.
+const GOSSIP_INTERVAL: u64 = 400;
 const FANOUT: usize = 12;
 
 fn at(millis: u64) -> Time {
@@ -46,34 +48,37 @@
 }
 
 fn rate(per_second: f64) -> RequestRate {
-    RequestRate::new(per_second).expect("it is a number of requests")
+    RequestRate::new(per_second).expect("a valid rate")
 }
 
-/// Guards against a limit that an answer from before it lifts.
+/// Guards against a limit that is lifted by a response to a request sent before the limit was known.
 #[test]
-fn an_answer_that_was_under_way_lifts_no_limit() {
+fn a_response_to_an_earlier_request_does_not_lift_a_limit() {
     let mut limit = LimitState::default();
-    assert_eq!(limit.answered(at(10), at(0), None), None);
+    assert_eq!(limit.record_response(at(10), at(0), None), None);
     let named = LimitChange::Named(rate(4.1));
     assert_eq!(
-        limit.answered(at(100), at(60), Some(rate(4.1))),
+        limit.record_response(at(100), at(60), Some(rate(4.1))),
         Some(named)
     );
-    assert_eq!(limit.answered(at(120), at(60), Some(rate(4.1))), None);
-    assert_eq!(limit.answered(at(130), at(90), None), None);
+    assert_eq!(
+        limit.record_response(at(120), at(60), Some(rate(4.1))),
+        None
+    );
+    assert_eq!(limit.record_response(at(130), at(90), None), None);
     assert_eq!(limit.rate(), Some(rate(4.1)));
     let lifted = Some(LimitChange::Lifted);
-    assert_eq!(limit.answered(at(160), at(121), None), lifted);
+    assert_eq!(limit.record_response(at(160), at(121), None), lifted);
     assert_eq!(limit.rate(), None);
     let again = LimitChange::Named(rate(3.0));
     assert_eq!(
-        limit.answered(at(170), at(80), Some(rate(3.0))),
+        limit.record_response(at(170), at(80), Some(rate(3.0))),
         Some(again)
     );
 }
 
 #[test]
-fn a_rate_is_a_number_of_requests() {
+fn rates_reject_invalid_numbers_and_saturate() {
     assert_eq!(RequestRate::new(f64::NAN), None);
     assert_eq!(RequestRate::new(-1.0), None);
     assert_eq!(rate(3.2).per_second(), 3.2);
@@ -91,7 +96,7 @@
     }
 }
 
-/// An entry that knows one server, and `entries` in all.
+/// The fleet of an entry that knows one server, and `entries` entries including itself.
 fn fleet(number: usize, entries: usize) -> Fleet {
     let mut fleet = Fleet::new(Place {
         zone: Name::new("a"),
@@ -103,30 +108,30 @@
     fleet
 }
 
-/// A request at the server, or its answer on the way back.
+/// A request at the server, or its response on the way back.
 struct Sent {
     by: usize,
-    life: u32,
+    incarnation: u32,
     at: u64,
-    answered: u64,
+    answered_at: u64,
     limit: Option<RequestRate>,
 }
 
-/// An entry, and when its present life first heard an answer with a limit.
+/// An entry, and when its current incarnation first received a response with a limit.
 struct Entry {
     fleet: Fleet,
-    life: u32,
-    told: Option<u64>,
+    incarnation: u32,
+    limited_since: Option<u64>,
 }
 
 struct World {
     rng: fastrand::Rng,
     entries: Vec<Entry>,
     limit: f64,
-    answers: Vec<Sent>,
-    // Of all requests; and of those of entries that had known the limit.
+    responses: Vec<Sent>,
+    // Arrivals of all requests, and of requests by entries that knew the limit.
     arrivals: Vec<u64>,
-    bound: Vec<u64>,
+    limited_arrivals: Vec<u64>,
     refused: Vec<u64>,
 }
 
@@ -134,16 +139,16 @@
     fn new(entries: usize, limit: f64) -> Self {
         let all = (0..entries).map(|number| Entry {
             fleet: fleet(number, entries),
-            life: 0,
-            told: None,
+            incarnation: 0,
+            limited_since: None,
         });
         World {
             rng: fastrand::Rng::with_seed(entries as u64),
             entries: all.collect(),
             limit,
-            answers: Vec::new(),
+            responses: Vec::new(),
             arrivals: Vec::new(),
-            bound: Vec::new(),
+            limited_arrivals: Vec::new(),
             refused: Vec::new(),
         }
     }
@@ -158,85 +163,90 @@
             return;
         };
         entry.fleet.started(at(now), key, &need);
-        let arrival = now + self.rng.u64(1..WAY);
+        let arrival = now + self.rng.u64(1..MAX_DELAY);
         self.arrivals.push(arrival);
-        let names = (NAMED..LIFTED).contains(&arrival);
-        if names && entry.told.is_some_and(|told| arrival >= told + KNOWN) {
-            self.bound.push(arrival);
+        let limited = (LIMIT_START..LIMIT_END).contains(&arrival);
+        if limited
+            && entry
+                .limited_since
+                .is_some_and(|limited_since| arrival >= limited_since + NOTICE)
+        {
+            self.limited_arrivals.push(arrival);
         }
-        let answered = arrival + WORK + self.rng.u64(1..WAY);
-        self.answers.push(Sent {
+        let answered_at = arrival + WORK_TIME + self.rng.u64(1..MAX_DELAY);
+        self.responses.push(Sent {
             by,
-            life: entry.life,
+            incarnation: entry.incarnation,
             at: now,
-            answered,
-            limit: names.then(|| rate(self.limit)),
+            answered_at,
+            limit: limited.then(|| rate(self.limit)),
         });
     }
 
-    fn hear_answers(&mut self, now: u64) {
-        let sent = std::mem::take(&mut self.answers);
+    fn deliver_responses(&mut self, now: u64) {
+        let sent = std::mem::take(&mut self.responses);
         let (due, later): (Vec<Sent>, Vec<Sent>) =
-            sent.into_iter().partition(|sent| sent.answered <= now);
-        self.answers = later;
+            sent.into_iter().partition(|sent| sent.answered_at <= now);
+        self.responses = later;
         for sent in due {
             let entry = &mut self.entries[sent.by];
-            if entry.life != sent.life {
+            if entry.incarnation != sent.incarnation {
                 continue;
             }
             let address = SocketAddr::from(([10, 1, 0, 1], 8_701));
-            let key = entry.fleet.key_at(address).expect("it is listed");
+            let key = entry.fleet.key_at(address).expect("listed");
             entry.fleet.ended(key, 0);
             entry
                 .fleet
                 .told_limit(at(now), key, at(sent.at), sent.limit);
             if sent.limit.is_some() {
-                entry.told.get_or_insert(now);
+                entry.limited_since.get_or_insert(now);
             }
         }
     }
 
-    fn hello(&mut self, now: u64, from: usize) {
-        let words: Vec<LimitWord> = self.entries[from].fleet.limit_words(at(now));
+    fn gossip(&mut self, now: u64, from: usize) {
+        let reports: Vec<LimitWord> = self.entries[from].fleet.limit_words(at(now));
         for _ in 0..FANOUT {
             let to = self.rng.usize(..self.entries.len());
             if to != from {
-                self.entries[to].fleet.hear_limits(at(now), &words);
+                self.entries[to].fleet.hear_limits(at(now), &reports);
             }
         }
     }
 
     fn restart(&mut self, number: usize) {
         let entries = self.entries.len();
-        let life = self.entries[number].life + 1;
+        let incarnation = self.entries[number].incarnation + 1;
         self.entries[number] = Entry {
             fleet: fleet(number, entries),
-            life,
-            told: None,
+            incarnation,
+            limited_since: None,
         };
     }
 
-    /// Callers come all the time but for a pause; a third of the entries starts again while the limit holds.
-    fn play(mut self, per_second: u64, gossip: bool) -> Self {
-        let mut owed = 0;
+    /// Runs the simulation: requests arrive at a constant rate except in the pause, and a third of the
+    /// entries restarts while the limit is in force.
+    fn run(mut self, per_second: u64, gossip: bool) -> Self {
+        let mut due = 0;
         for now in 0..END {
-            self.hear_answers(now);
-            if now == NAMED + 3 * SECOND {
+            self.deliver_responses(now);
+            if now == LIMIT_START + 3 * SECOND {
                 let starting = (0..self.entries.len()).step_by(3);
                 starting.for_each(|number| self.restart(number));
             }
             for number in 0..self.entries.len() {
-                if gossip && (now + number as u64 * 7).is_multiple_of(HELLO) {
-                    self.hello(now, number);
+                if gossip && (now + number as u64 * 7).is_multiple_of(GOSSIP_INTERVAL) {
+                    self.gossip(now, number);
                 }
             }
-            owed += if (QUIET..STORM).contains(&now) {
+            due += if (PAUSE_START..PAUSE_END).contains(&now) {
                 0
             } else {
                 per_second
             };
-            while owed >= SECOND {
-                owed -= SECOND;
+            while due >= SECOND {
+                due -= SECOND;
                 self.request(now);
             }
         }
@@ -244,8 +254,8 @@
     }
 }
 
-/// The most of the times that lie within one window.
-fn most(times: &[u64]) -> usize {
+/// The largest number of the times that lie within one window.
+fn max_in_window(times: &[u64]) -> usize {
     let mut times = times.to_vec();
     times.sort();
     let within = |(first, from): (usize, &u64)| {
@@ -260,7 +270,7 @@
         .unwrap_or_default()
 }
 
-/// What may arrive within one window.
+/// The number of requests that may arrive within one window.
 fn tolerated(limit: f64) -> usize {
     (limit * 1.5 * (WINDOW / SECOND) as f64 + 5.0) as usize
 }
@@ -277,37 +287,43 @@
     (370, 200.0, 1_400),
 ];
 
-/// Guards against entries that each send a server in need its limit, or all send one request at once after a quiet time.
+/// Guards against entries that each send the whole limit to an overloaded server, or that all send one
+/// request at once after an idle period.
 #[test]
 fn all_entries_together_keep_to_the_limit_and_use_it() {
     for (entries, limit, per_second) in SIZES {
         for gossip in [true, false] {
             let case = format!("{entries} entries, {limit} a second, gossip {gossip}");
-            let world = World::new(entries, limit).play(per_second, gossip);
-            let most = most(&world.bound);
-            assert!(most <= tolerated(limit), "{case}: {most}");
+            let world = World::new(entries, limit).run(per_second, gossip);
+            let peak = max_in_window(&world.limited_arrivals);
+            assert!(peak <= tolerated(limit), "{case}: {peak}");
             let within = |from: u64, to: u64| {
-                let there = world.arrivals.iter();
-                there.filter(|at| (from..to).contains(*at)).count() as f64
+                let arrivals = world.arrivals.iter();
+                arrivals.filter(|at| (from..to).contains(*at)).count() as f64
             };
-            let busy = within(STORM, LIFTED) / ((LIFTED - STORM) / SECOND) as f64;
-            assert!(busy >= 0.6 * limit, "{case}: {busy} a second");
+            let arrival_rate =
+                within(PAUSE_END, LIMIT_END) / ((LIMIT_END - PAUSE_END) / SECOND) as f64;
+            assert!(
+                arrival_rate >= 0.6 * limit,
+                "{case}: {arrival_rate} a second"
+            );
         }
     }
 }
 
-/// Guards against a limit that most entries go on keeping to after it was lifted, since they send nothing there.
+/// Guards against entries that keep applying a limit after it was lifted, because they send nothing to
+/// the server and so get no response.
 #[test]
-fn a_lifted_limit_is_over_at_all_entries() {
+fn a_lifted_limit_is_lifted_at_all_entries() {
     for (entries, limit, per_second) in SIZES {
-        let world = World::new(entries, limit).play(per_second, true);
+        let world = World::new(entries, limit).run(per_second, true);
         let late = world.refused.iter().filter(|at| **at >= END - 3 * SECOND);
         let late = late.count();
         assert_eq!(late, 0, "{entries} entries, {limit} a second");
     }
 }
 
-/// Guards against a share for each entry that does not know yet how many there are.
+/// Guards against an entry that takes the whole limit while it does not know how many entries there are.
 #[test]
 fn an_entry_that_knows_no_others_sends_nothing_to_a_limited_server() {
     let mut fleet = Fleet::new(Place {
@@ -333,9 +349,10 @@
     assert!(fleet.choose(at(30 * SECOND), &need, &spec).is_ok());
 }
 
-/// Guards against a share that grows with requests which are sent whatever the limit: runs that are moved.
+/// Guards against a share that is exceeded permanently by requests sent regardless of the limit, such as
+/// moved runs: later requests must wait until these are compensated.
 #[test]
-fn requests_beyond_the_share_are_made_up_for() {
+fn requests_beyond_the_share_are_deducted() {
     let mut fleet = fleet(0, 2);
     let word = LimitWord {
         server: Name::new("i-1"),
