--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Which backend server a request goes to, under the loads that the fleet is made for.
+//! Tests of the choice of a backend server under the load patterns that the fleet is designed for.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,8 +25,8 @@
 use testutils::site;
 
 const CAPACITY: u64 = 34_000;
-const DRAFT: u64 = 4_000;
-const PROMPT: u64 = 3_000;
+const REQUEST_TOKENS: u64 = 4_000;
+const PROMPT_TOKENS: u64 = 3_000;
 
 fn spec() -> ServiceSpec {
     site::engine_service(24, CAPACITY)
@@ -76,7 +76,7 @@
 fn need<'a>(service: &'a Name, tried: &'a [ServerKey]) -> Need<'a> {
     Need {
         tried,
-        ..Need::new(service, PROMPT, DRAFT)
+        ..Need::new(service, PROMPT_TOKENS, REQUEST_TOKENS)
     }
 }
 
@@ -84,7 +84,7 @@
     Time::from_millis(ms)
 }
 
-/// Sends a draft; the number of the engine in its identifier.
+/// Sends a request and returns the identifier of the chosen engine.
 fn send(fleet: &mut Fleet, now: Time) -> Result<String, NoServer> {
     let service = Name::new("llm");
     let need = need(&service, &[]);
@@ -96,10 +96,10 @@
         .unwrap_or_default())
 }
 
-/// Load pattern: long drafts, one after the other, as many as the memory of all engines holds. Placed
-/// by their number alone they would meet where short ones ran before.
+/// Load pattern: a series of long requests, as many as the memory of all engines holds. If they were
+/// placed by count alone, several would meet at an engine that ran short ones before.
 #[test]
-fn long_drafts_fill_the_engines_evenly() {
+fn long_requests_fill_the_engines_evenly() {
     let mut fleet = fleet("a");
     let records: Vec<ServerRecord> = (0..4).map(|n| record(n, "a")).collect();
     fleet.set_all(millis(0), &records);
@@ -110,10 +110,10 @@
         let id = send(&mut fleet, now).unwrap();
         *counts.entry(id.clone()).or_default() += 1;
         let first = counts.get("i-0").copied().unwrap_or_default();
-        let told = report(16_000 + first * DRAFT, 4 + first as u32);
+        let reported = report(16_000 + first * REQUEST_TOKENS, 4 + first as u32);
         let engine = fleet.key_at(address(id.trim_start_matches("i-").parse().unwrap()));
-        fleet.began(engine.unwrap(), PROMPT);
-        fleet.report(now + Duration::from_millis(500), &here(0, "a"), &told);
+        fleet.began(engine.unwrap(), PROMPT_TOKENS);
+        fleet.report(now + Duration::from_millis(500), &here(0, "a"), &reported);
     }
     let first = counts.get("i-0").copied().unwrap_or_default();
     assert!(
@@ -123,11 +123,11 @@
     assert!(counts.values().all(|count| *count <= 8), "{counts:?}");
 }
 
-/// Load pattern: one availability zone is so full that its engines could not take in the runs of one of
-/// them, which may leave at any time, while another region has room. Without the headroom a draft stays
-/// near and is lost with the next engine that leaves.
+/// Load pattern: one availability zone is so full that its engines could not take over the runs of one
+/// of them, which may leave at any time, while another region has free memory. Without the headroom
+/// cost a request stays near and is lost with the next engine that leaves.
 #[test]
-fn a_zone_without_room_to_retreat_sends_drafts_to_another_region() {
+fn a_zone_without_headroom_sends_requests_to_another_region() {
     let mut fleet = fleet("a");
     let records = [
         record(0, "a"),
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_zone_with_room_keeps_its_drafts() {
+fn a_zone_with_headroom_keeps_its_requests() {
     let mut fleet = fleet("a");
     let records: Vec<ServerRecord> = (0..4)
         .map(|n| record(n, "a"))
@@ -172,10 +172,10 @@
     );
 }
 
-/// Load pattern: five entries read the same report of an engine that has just come, empty. Without
-/// word of each other's requests all of them send there, and their prompts are read one after the other.
+/// Load pattern: five entries receive the same report of a new, empty engine. Unless they are notified of
+/// each other's requests, all of them send there, and the prompts are processed one after the other.
 #[test]
-fn entries_that_hear_of_each_others_requests_do_not_meet_at_one_engine() {
+fn entries_that_share_sent_requests_spread_over_engines() {
     let mut fleets: Vec<Fleet> = (0..5).map(|_| fleet("a")).collect();
     let records: Vec<ServerRecord> = (0..4).map(|n| record(n, "a")).collect();
     for fleet in &mut fleets {
@@ -192,7 +192,7 @@
         let number: u16 = id.trim_start_matches("i-").parse().unwrap();
         for (other, fleet) in fleets.iter_mut().enumerate() {
             if other != entry {
-                fleet.started_elsewhere(now, address(number), PROMPT, DRAFT);
+                fleet.started_elsewhere(now, address(number), PROMPT_TOKENS, REQUEST_TOKENS);
             }
         }
         *counts.entry(id).or_default() += 1;
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_leaving_or_gone_server_gets_nothing_new() {
+fn a_leaving_or_removed_server_gets_no_new_requests() {
     let mut fleet = fleet("a");
     fleet.set_all(millis(0), &[record(0, "a"), record(1, "a")]);
     let mut draining = record(0, "a");
@@ -214,26 +214,26 @@
     assert_eq!(send(&mut fleet, millis(4)), Err(NoServer::None));
 }
 
-/// An engine says itself that it leaves, before the list does; an older word of the list, that it is
-/// ready, must not bring it back.
+/// An engine reports that it is leaving before the list does. An older list entry, which says that it
+/// is ready, must not make it usable again.
 #[test]
-fn a_server_that_leaves_does_not_come_back_by_an_older_word() {
+fn an_older_list_entry_does_not_revive_a_leaving_server() {
     let mut fleet = fleet("a");
     fleet.set_all(millis(0), &[record(0, "a"), record(1, "a")]);
-    let mut leaves = report(0, 0);
-    leaves.leaving = true;
+    let mut leaving = report(0, 0);
+    leaving.leaving = true;
     assert!(
-        fleet.report(millis(1), &here(0, "a"), &leaves),
-        "that is news"
+        fleet.report(millis(1), &here(0, "a"), &leaving),
+        "the first sign of it"
     );
     fleet.change(millis(2), &ServerChange::Put(record(0, "a")));
     assert_eq!(send(&mut fleet, millis(3)).unwrap(), "i-1");
     assert_eq!(send(&mut fleet, millis(3)).unwrap(), "i-1");
 }
 
-/// A server starts again under the identifier that it had: what was there before is gone with it.
+/// A server restarts under the same identifier: requests of the previous incarnation are lost.
 #[test]
-fn another_life_under_the_same_identifier_is_another_server() {
+fn another_incarnation_under_the_same_identifier_is_another_server() {
     let mut fleet = fleet("a");
     fleet.set_all(millis(0), &[record(0, "a")]);
     let service = Name::new("llm");
@@ -241,9 +241,9 @@
         .choose(millis(1), &need(&service, &[]), &spec())
         .unwrap();
     fleet.started(millis(1), before, &need(&service, &[]));
-    let mut reborn = record(0, "a");
-    reborn.born = 2;
-    fleet.change(millis(2), &ServerChange::Put(reborn));
+    let mut restarted = record(0, "a");
+    restarted.born = 2;
+    fleet.change(millis(2), &ServerChange::Put(restarted));
     assert!(fleet.leaving(before).is_some());
     let after = fleet
         .choose(millis(3), &need(&service, &[]), &spec())
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_server_that_cannot_be_reached_rests_and_comes_back() {
+fn an_unreachable_server_is_backed_off_and_retried() {
     let mut fleet = fleet("a");
     fleet.set_all(millis(0), &[record(0, "a"), record(1, "a")]);
     let service = Name::new("llm");
@@ -265,19 +265,19 @@
     for _ in 0..3 {
         assert_ne!(send(&mut fleet, millis(10)).unwrap(), lost);
     }
-    let back = (0..8).any(|_| send(&mut fleet, millis(5_000)).unwrap() == lost);
-    assert!(back, "it never came back");
+    let retried = (0..8).any(|_| send(&mut fleet, millis(5_000)).unwrap() == lost);
+    assert!(retried, "it was never retried");
 }
 
-/// While the directory is away only its scout tells of an engine. When the list has it again, it is the
-/// same engine, and what runs there goes on.
+/// While the directory is unavailable an engine is known only from its scout. Once the list has it, it
+/// must count as the same engine, so that its requests continue.
 #[test]
-fn an_announced_engine_stays_itself_when_the_list_has_it() {
+fn an_announced_engine_keeps_its_requests_once_it_is_listed() {
     let mut fleet = fleet("a");
     assert!(fleet.announced(millis(0), &here(0, "a")));
     assert!(
         !fleet.announced(millis(1), &here(0, "a")),
-        "that is no news"
+        "it is known already"
     );
     let service = Name::new("llm");
     let key = fleet
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn an_announced_engine_whose_scout_falls_silent_is_forgotten() {
+fn an_announced_engine_whose_scout_falls_silent_is_removed() {
     let mut fleet = fleet("a");
     fleet.announced(millis(0), &here(0, "a"));
     fleet.report(millis(100), &here(0, "a"), &report(0, 0));
@@ -304,8 +304,8 @@
     assert_eq!(send(&mut fleet, millis(5_100)), Err(NoServer::None));
 }
 
-/// All engines have lost power and started again under new identifiers; the list still names the old
-/// ones. A request finds the new one at the address, and its scout says what it is.
+/// All engines lost power and restarted under new identifiers, while the list still names the old ones.
+/// A request finds the new engine at the address, and its scout reports its service and zone.
 #[test]
 fn an_engine_found_in_place_of_another_serves_before_the_list_has_it() {
     let mut fleet = fleet("a");
@@ -318,7 +318,7 @@
     assert_eq!(send(&mut fleet, millis(3)), Err(NoServer::None));
     fleet.report(millis(4), &here(0, "a"), &report(0, 0));
     assert_eq!(send(&mut fleet, millis(5)).unwrap(), "i-new");
-    // Without a scout's word the address may be another service's by now.
+    // Without a recent scout report the address may belong to another service by now.
     let key = fleet.key_at(address(0)).unwrap();
     fleet.is_other(millis(3_006), key, &Name::new("i-newer"));
     assert_eq!(send(&mut fleet, millis(3_007)), Err(NoServer::None));
@@ -326,14 +326,14 @@
     assert_eq!(
         send(&mut fleet, millis(9_001)),
         Err(NoServer::None),
-        "the word is too old"
+        "the observation is too old"
     );
 }
 
-/// Load pattern: a burst of plain calls. They stay near while there is a free place, and go to another
-/// region only when the queue would take longer than the way.
+/// Load pattern: a burst of plain calls. They stay near while there is a free slot, and go to another
+/// region only when queueing would take longer than the round trip.
 #[test]
-fn plain_calls_stay_near_until_the_queue_outweighs_the_way() {
+fn plain_calls_stay_near_until_the_queue_outweighs_the_round_trip() {
     let mut fleet = fleet("a");
     let mut near = record(0, "a");
     near.slots = 6;
@@ -352,10 +352,11 @@
     assert!(went[6..].iter().any(|id| id == "i-1"), "{went:?}");
 }
 
-/// The same, and the scout has spoken before the request found the new engine: the request goes to it at
-/// once. The list, read again, still names the former life, which would be found out anew each time.
+/// Engines restarted under new identifiers, and the scout reported before a request found the new one:
+/// the request goes to it at once. The list still names the previous incarnation when it is read again;
+/// if that were revived, each request would have to find out anew.
 #[test]
-fn a_life_that_has_ended_does_not_come_back_with_the_list() {
+fn an_ended_incarnation_is_not_revived_by_the_list() {
     let mut fleet = fleet("a");
     fleet.set_all(millis(0), &[record(0, "a")]);
     fleet.report(millis(1), &here(0, "a"), &report(5_000, 2));
@@ -365,47 +366,50 @@
     let key = fleet.key_at(address(0)).unwrap();
     assert!(
         fleet.load(millis(3), key).0 > 5_000,
-        "the scout's word still holds"
+        "the scout's report is kept"
     );
     fleet.set_all(millis(500), &[record(0, "a")]);
     fleet.change(millis(600), &ServerChange::Put(record(0, "a")));
     assert_eq!(send(&mut fleet, millis(700)).unwrap(), "i-new");
-    // It has had time to come into the list.
+    // By now the list should have it.
     fleet.set_all(millis(6_000), &[]);
     assert_eq!(send(&mut fleet, millis(6_001)), Err(NoServer::None));
-    // Another life under the first identifier is none of the one that ended.
-    let mut reborn = record(0, "a");
-    reborn.born = 2;
-    fleet.change(millis(6_100), &ServerChange::Put(reborn));
+    // Another incarnation under the first identifier is not the one that ended.
+    let mut restarted = record(0, "a");
+    restarted.born = 2;
+    fleet.change(millis(6_100), &ServerChange::Put(restarted));
     assert_eq!(send(&mut fleet, millis(6_200)).unwrap(), "i-0");
 }
 
-/// All hosts were without power. Before any request has found out, the scout names the engine's new life.
+/// All hosts lost power. The scout reports the engine's new identifier before any request finds it out.
 #[test]
-fn a_scout_names_the_life_that_the_list_does_not_have() {
+fn a_scout_reports_an_incarnation_before_the_list_has_it() {
     let mut fleet = fleet("a");
     fleet.set_all(millis(0), &[record(0, "a"), record(1, "a")]);
     let id = Name::new("i-new");
     assert!(fleet.identified(millis(1), &here(0, "a"), &id));
-    assert!(!fleet.identified(millis(2), &here(0, "a"), &id), "no news");
+    assert!(
+        !fleet.identified(millis(2), &here(0, "a"), &id),
+        "it is known already"
+    );
     let key = fleet.key_at(address(0)).unwrap();
     assert_eq!(fleet.record(key).unwrap().id, id);
     fleet.set_all(millis(10), &[record(0, "a"), record(1, "a")]);
     assert_eq!(fleet.servers().count(), 2);
-    // The list has it: from then on it is gone when the list says so.
+    // Once listed, it is removed when the list says so.
     let mut listed = record(0, "a");
     listed.id = id.clone();
     listed.born = 9;
     fleet.change(millis(900), &ServerChange::Put(listed));
-    assert_eq!(fleet.key_at(address(0)), Some(key), "the same life");
+    assert_eq!(fleet.key_at(address(0)), Some(key), "the same incarnation");
     fleet.change(millis(1_000), &ServerChange::Gone(id));
     assert!(fleet.key_at(address(0)).is_none());
 }
 
-/// An engine that leaves without saying so is taken off the list and runs on. Its scout's word, which
-/// tells who it is, must not bring it back; nor may a scout of another service name it.
+/// An engine that leaves without announcing it is removed from the list and keeps running. Its scout's
+/// identity report must not make it usable again, and a scout of another service must not identify it.
 #[test]
-fn a_scout_does_not_bring_back_an_engine_that_was_taken_off_the_list() {
+fn a_scout_does_not_revive_an_engine_that_was_removed_from_the_list() {
     let mut fleet = fleet("a");
     fleet.set_all(millis(0), &[record(0, "a")]);
     fleet.change(millis(1), &ServerChange::Gone(Name::new("i-0")));
@@ -417,9 +421,9 @@
     assert!(!fleet.identified(millis(5), &other, &Name::new("i-x")));
 }
 
-/// Who waits for reports of new engines is told which have come, once.
+/// The caller that requests reports of new engines gets each address once.
 #[test]
-fn engines_that_have_come_are_told_once() {
+fn added_engines_are_returned_once() {
     let mut fleet = fleet("a");
     fleet.set_all(millis(0), &[record(0, "a"), record(1, "a")]);
     assert_eq!(fleet.take_joined().len(), 2);
@@ -428,10 +432,10 @@
     assert!(fleet.take_joined().is_empty());
 }
 
-/// A scout moves a run to an engine that this entry has not heard of. The run goes there, and nothing
-/// else does; to an engine that has left the list it does not go.
+/// A scout moves a run to an engine that this entry does not know. Only that run may go there; and no
+/// run may go to an engine that was removed from the list.
 #[test]
-fn a_moved_run_may_go_where_the_list_has_nothing() {
+fn a_moved_run_may_go_to_an_unlisted_engine() {
     let mut fleet = fleet("a");
     fleet.set_all(millis(0), &[record(0, "a"), record(1, "a")]);
     let service = Name::new("llm");
@@ -440,53 +444,53 @@
     assert_eq!(
         Fleet::expected_id(fleet.record(key).unwrap()),
         Name::default(),
-        "its identifier is not known"
+        "its identifier is unknown"
     );
     fleet.set_all(millis(2), &[]);
     assert_eq!(send(&mut fleet, millis(3)), Err(NoServer::None));
     fleet.ended(key, need(&service, &[]).tokens);
-    assert!(fleet.record(key).is_none(), "nothing of it is kept");
+    assert!(fleet.record(key).is_none(), "it is removed");
     assert!(
         fleet.adopted(millis(4), &here(1, "a")).is_none(),
-        "it has left"
+        "it was removed from the list"
     );
     fleet.set_all(millis(5), &[record(1, "a")]);
     let listed = fleet.key_at(address(1));
     assert_eq!(fleet.adopted(millis(6), &here(1, "a")), listed);
 }
 
-/// Reports that come often are chosen by; those that come seldom, or not at all, are not. A relay that has no engine
-/// near goes by those that are far.
+/// Servers are chosen by reports only if these are frequent. A relay without engines in its region
+/// considers the reports of other regions.
 #[test]
-fn reports_that_come_seldom_are_dated() {
+fn infrequent_reports_are_too_sparse() {
     let service = Name::new("llm");
-    let often = report(0, 0);
-    let seldom = EngineLoad {
+    let frequent = report(0, 0);
+    let infrequent = EngineLoad {
         every: 500,
         ..report(0, 0)
     };
     let mut near = fleet("a");
     near.set_all(millis(0), &[record(0, "a"), record(1, "b")]);
     assert!(near.reports_too_sparse(millis(1), &service, &ANY_REGION));
-    near.report(millis(1), &here(0, "a"), &often);
-    near.report(millis(1), &here(1, "b"), &seldom);
+    near.report(millis(1), &here(0, "a"), &frequent);
+    near.report(millis(1), &here(1, "b"), &infrequent);
     assert!(!near.reports_too_sparse(millis(2), &service, &ANY_REGION));
-    near.report(millis(3), &here(0, "a"), &seldom);
+    near.report(millis(3), &here(0, "a"), &infrequent);
     assert!(near.reports_too_sparse(millis(4), &service, &ANY_REGION));
     let mut far = fleet("c");
     far.set_all(millis(0), &[record(0, "a")]);
-    far.report(millis(1), &here(0, "a"), &often);
+    far.report(millis(1), &here(0, "a"), &frequent);
     assert!(!far.reports_too_sparse(millis(2), &service, &ANY_REGION));
 }
 
-/// An engine has left, and another one has begun at its address while a stream still runs at the first. Each is
-/// found for what it is: new requests and reports go to the one that is listed.
+/// An engine left and another one started at its address while a stream still runs at the first. New
+/// requests and reports must be attributed to the listed one.
 #[test]
-fn an_address_that_is_used_again_names_the_listed_server() {
+fn a_reused_address_maps_to_the_listed_server() {
     let mut fleet = fleet("a");
     fleet.set_all(millis(0), &[record(0, "a")]);
     send(&mut fleet, millis(1)).unwrap();
-    let former = fleet.key_at(address(0)).unwrap();
+    let previous = fleet.key_at(address(0)).unwrap();
     fleet.change(millis(2), &ServerChange::Gone(Name::new("i-0")));
     assert_eq!(fleet.key_at(address(0)), None);
     let mut second = record(0, "a");
@@ -494,20 +498,21 @@
     second.born = 2;
     fleet.change(millis(3), &ServerChange::Put(second));
     let listed = fleet.key_at(address(0)).unwrap();
-    assert_ne!(listed, former);
+    assert_ne!(listed, previous);
     assert_eq!(fleet.record(listed).unwrap().id.as_str(), "i-9");
-    fleet.ended(former, DRAFT);
+    fleet.ended(previous, REQUEST_TOKENS);
     assert_eq!(fleet.key_at(address(0)), Some(listed));
-    assert!(fleet.record(former).is_none());
+    assert!(fleet.record(previous).is_none());
 }
 
 fn only(regions: &[&str]) -> AllowedRegions {
     AllowedRegions::only(regions.iter().map(Name::new))
 }
 
-/// Guards against a near server that gets what may not be served in its region, however crowded the others are.
+/// Guards against a request that is sent to a near server, in a region where it may not be served, because
+/// the allowed servers are crowded.
 #[test]
-fn a_restricted_request_goes_far_and_nowhere_else() {
+fn a_restricted_request_goes_only_to_allowed_regions() {
     let mut fleet = fleet("a");
     fleet.set_all(millis(0), &[record(0, "a"), record(1, "b"), record(2, "c")]);
     fleet.report(millis(1), &here(1, "b"), &report(33_000, 20));
@@ -522,19 +527,20 @@
     let left_out = fleet.left_out_near(millis(2), &need, &spec());
     assert_eq!((left_out.region, left_out.evacuated), (1, 0));
     let options = fleet.options(millis(2), &need, &spec());
-    assert_eq!(options.len(), 1, "nor is another one asked for its load");
-    let nowhere = only(&[]);
+    assert_eq!(options.len(), 1, "no other server is asked for its load");
+    let no_regions = only(&[]);
     let need = Need {
-        regions: &nowhere,
+        regions: &no_regions,
         ..need
     };
-    let why = fleet.choose(millis(2), &need, &spec());
-    assert_eq!(why, Err(NoServer::Excluded(Exclusion::Region)));
+    let chosen = fleet.choose(millis(2), &need, &spec());
+    assert_eq!(chosen, Err(NoServer::Excluded(Exclusion::Region)));
 }
 
-/// Guards against work for a zone that is evacuated, and against one that stays unused after that is taken back.
+/// Guards against requests to an evacuated zone, and against a zone that stays unused after the end of
+/// its evacuation.
 #[test]
-fn an_evacuated_zone_gets_nothing_until_it_is_taken_back() {
+fn an_evacuated_zone_gets_no_requests_until_the_evacuation_ends() {
     let evacuated = |revision, zones: &[&str]| EvacuatedZones {
         zones: zones.iter().map(Name::new).collect(),
         revision: Revision::new(0, revision),
@@ -549,7 +555,7 @@
     assert_eq!(
         send(&mut fleet, millis(5)),
         Ok("i-1".into()),
-        "a server that comes is no exception"
+        "a new server is no exception"
     );
     fleet.set_evacuated(millis(6), &evacuated(6, &["a", "b"]));
     let none = Err(NoServer::Excluded(Exclusion::Evacuated));
@@ -558,9 +564,9 @@
     assert_eq!(send(&mut fleet, millis(9)), Ok("i-2".into()));
 }
 
-/// Guards against a run that is moved, or goes back, to where new work may not go.
+/// Guards against a run that is moved, or returns, to a server where new requests may not go.
 #[test]
-fn a_moved_run_goes_where_new_work_may_go() {
+fn a_moved_run_goes_only_where_new_requests_may_go() {
     let mut fleet = fleet("a");
     fleet.set_all(millis(0), &[record(0, "a"), record(1, "b")]);
     let key = |fleet: &Fleet, number| fleet.key_at(address(number)).unwrap();
@@ -574,7 +580,8 @@
     assert!(!fleet.may_get(one, &ANY_REGION) && fleet.may_get(two, &ANY_REGION));
 }
 
-/// Guards against work for a server that has left, since the directory went back to a copy that still lists it.
+/// Guards against requests to a server that has left, after the directory was rolled back to a copy that
+/// still lists it.
 #[test]
 fn a_server_that_has_left_is_not_taken_back_from_an_older_copy() {
     let mut fleet = fleet("a");
@@ -593,11 +600,11 @@
     assert_eq!(
         send(&mut fleet, millis(3_030)),
         Ok("i-0".into()),
-        "another life"
+        "another incarnation"
     );
 }
 
-/// Guards against a server that stays unused though it has written its entry again.
+/// Guards against a server that stays unused although it has written its entry again.
 #[test]
 fn a_server_that_writes_its_entry_again_is_used() {
     let mut fleet = fleet("a");
@@ -609,9 +616,10 @@
     assert_eq!(send(&mut fleet, millis(910)), Ok("i-0".into()));
 }
 
-/// Guards against a server that takes work again, since the directory has lost its word that it leaves.
+/// Guards against a leaving server that gets new requests after a rollback of the directory lost its
+/// draining state.
 #[test]
-fn a_server_that_leaves_goes_on_leaving_when_the_directory_has_lost_its_word() {
+fn a_leaving_server_keeps_leaving_after_a_directory_rollback() {
     let mut fleet = fleet("a");
     fleet.set_all(millis(0), &[record(0, "a"), record(1, "b")]);
     let leaving = ServerRecord {
@@ -622,9 +630,9 @@
     fleet.directory_returned(millis(500));
     fleet.add_all(millis(510), &[record(0, "a"), record(1, "b")]);
     assert_eq!(send(&mut fleet, millis(520)), Ok("i-1".into()));
-    let told: Vec<ServerPhase> = fleet.servers().map(|record| record.phase).collect();
+    let phases: Vec<ServerPhase> = fleet.servers().map(|record| record.phase).collect();
     assert!(
-        told.contains(&ServerPhase::Draining),
-        "others are told so as well"
+        phases.contains(&ServerPhase::Draining),
+        "the state is passed on to other entries"
     );
 }
--- a/lib/tests/placement_rules.rs
+++ b/lib/tests/placement_rules.rs
@@ -1,5 +1,6 @@
-//! What must hold wherever a request is placed, over random orders of evacuations, configurations, outages of the
-//! directory, deaths of entries and cold returns.
+//! Property test of the placement rules: allowed regions, zone evacuation and cold-start admission hold
+//! under random sequences of evacuations, configuration changes, directory outages, entry crashes and
+//! cold starts.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -28,30 +29,31 @@
 const PER_ZONE: usize = 3;
 const SERVERS: usize = ZONES * PER_ZONE;
 
-/// Requests a second that a cold server tolerates, and what may arrive there.
-const RATE: f64 = 6.0;
-const BOUND: usize = 14;
+/// The requests per second that a cold server tolerates, and the most that may arrive in a second.
+const COLD_RATE: f64 = 6.0;
+const MAX_COLD_ARRIVALS: usize = 14;
 
 /// How long a server is cold.
-const COLD: Duration = Duration::from_secs(3);
+const COLD_PERIOD: Duration = Duration::from_secs(3);
 
-/// The time between two steps, and within which an entry in touch has heard of an evacuation.
+/// The time between two steps in milliseconds, and the steps within which gossip must have reached every
+/// entry.
 const STEP: u64 = 100;
 const GOSSIP_STEPS: u64 = 8;
 
-/// What happens in a step, beside requests.
+/// An event in a step, in addition to requests.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// An operator evacuates a zone, or takes that back.
+    /// An operator evacuates a zone, or ends its evacuation.
     Evacuate(usize),
-    /// An operator allows a route these regions only, as bits.
+    /// An operator restricts a route to a set of regions, given as bits.
     Allow(u8),
-    /// The directory goes away, or comes back.
+    /// The directory becomes unavailable, or available again.
     Outage,
-    /// An entry dies and starts again, knowing what the directory or its peers tell it.
-    Kill(usize),
-    /// A zone's servers return cold.
-    ColdReturn(usize),
+    /// An entry crashes and restarts with the state of the directory.
+    Crash(usize),
+    /// A zone's servers restart cold.
+    ColdStart(usize),
     Nothing,
 }
 
@@ -62,8 +64,8 @@
             0 => Event::Evacuate(number % ZONES),
             1 => Event::Allow(number as u8),
             2 => Event::Outage,
-            3 | 4 => Event::Kill(number % ENTRIES),
-            5 => Event::ColdReturn(number % ZONES),
+            3 | 4 => Event::Crash(number % ENTRIES),
+            5 => Event::ColdStart(number % ZONES),
             _ => Event::Nothing,
         }
     }
@@ -80,17 +82,17 @@
     rng: fastrand::Rng,
     entries: Vec<Entry>,
     // The directory's state.
-    away: bool,
+    outage: bool,
     revision: u64,
     evacuated: BTreeSet<Name>,
     version: u64,
     allowed: u8,
     records: Vec<ServerRecord>,
-    // Since when each zone is evacuated, and when the configuration last changed.
-    since: HashMap<Name, u64>,
-    configured: u64,
-    // When each server returned cold, and its arrivals since.
-    cold: HashMap<SocketAddr, u64>,
+    // When each evacuated zone was evacuated, and when the configuration last changed.
+    evacuated_since: HashMap<Name, u64>,
+    configured_at: u64,
+    // When each server restarted cold, and its arrivals since.
+    cold_since: HashMap<SocketAddr, u64>,
     arrivals: HashMap<SocketAddr, Vec<u64>>,
 }
 
@@ -98,7 +100,7 @@
     Name::new(format!("z-{number}"))
 }
 
-/// Two zones to a region.
+/// The region of a zone: each has two zones.
 fn region(number: usize) -> Name {
     Name::new(format!("r-{}", number / 2))
 }
@@ -129,8 +131,8 @@
 fn spec() -> ServiceSpec {
     ServiceSpec {
         cold: ColdStart {
-            period: COLD,
-            rate: RATE,
+            period: COLD_PERIOD,
+            rate: COLD_RATE,
         },
         ..site::engine_service(24, 1_000_000)
     }
@@ -142,22 +144,22 @@
             now: 0,
             rng: fastrand::Rng::with_seed(seed),
             entries: Vec::new(),
-            away: false,
+            outage: false,
             revision: 1,
             evacuated: BTreeSet::new(),
             version: 1,
             allowed: 0,
             records: (0..SERVERS).map(|n| record(n, Duration::ZERO)).collect(),
-            since: HashMap::new(),
-            configured: 0,
-            cold: HashMap::new(),
+            evacuated_since: HashMap::new(),
+            configured_at: 0,
+            cold_since: HashMap::new(),
             arrivals: HashMap::new(),
         };
         world.entries = (0..ENTRIES).map(|n| world.start(n)).collect();
         world
     }
 
-    /// An entry that has read the directory.
+    /// Starts an entry with the state of the directory.
     fn start(&self, number: usize) -> Entry {
         let zones = (0..ZONES).map(|n| (zone(n), region(n)));
         let mut fleet = Fleet::new(Place {
@@ -185,23 +187,23 @@
         Time::from_millis(self.now)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         let now = self.now;
         match event {
-            Event::Outage => self.away = !self.away,
-            // The operator is not answered either.
-            Event::Evacuate(_) | Event::Allow(_) if self.away => {}
+            Event::Outage => self.outage = !self.outage,
+            // The operator cannot reach the directory either.
+            Event::Evacuate(_) | Event::Allow(_) if self.outage => {}
             Event::Evacuate(number) => {
                 self.revision += 1;
                 let zone = zone(number);
                 match self.evacuated.remove(&zone) {
-                    true => drop(self.since.remove(&zone)),
+                    true => drop(self.evacuated_since.remove(&zone)),
                     false => {
                         self.evacuated.insert(zone.clone());
-                        self.since.insert(zone, now);
+                        self.evacuated_since.insert(zone, now);
                     }
                 }
-                // One entry watches, and hears of it at once.
+                // One entry watches the directory and is notified at once.
                 let evacuated = self.evacuated_now();
                 let watcher = self.rng.usize(..ENTRIES);
                 let at = self.time();
@@ -210,23 +212,23 @@
             Event::Allow(bits) => {
                 self.version += 1;
                 self.allowed = bits;
-                self.configured = now;
+                self.configured_at = now;
                 let watcher = self.rng.usize(..ENTRIES);
                 self.configure(watcher);
             }
-            // One that starts while the directory is away knows nothing, and is told by its peers as all are.
-            Event::Kill(number) if !self.away => self.entries[number] = self.start(number),
-            Event::Kill(_) | Event::Nothing => {}
-            Event::ColdReturn(number) => self.return_cold(number),
+            // An entry that starts during an outage would know nothing but what its peers tell it.
+            Event::Crash(number) if !self.outage => self.entries[number] = self.start(number),
+            Event::Crash(_) | Event::Nothing => {}
+            Event::ColdStart(number) => self.cold_start(number),
         }
     }
 
-    fn return_cold(&mut self, zone: usize) {
+    fn cold_start(&mut self, zone: usize) {
         let now = self.time();
         for number in zone * PER_ZONE..(zone + 1) * PER_ZONE {
-            self.cold.insert(address(number), self.now);
-            self.records[number] = record(number, COLD);
-            let put = ServerChange::Put(record(number, COLD));
+            self.cold_since.insert(address(number), self.now);
+            self.records[number] = record(number, COLD_PERIOD);
+            let put = ServerChange::Put(record(number, COLD_PERIOD));
             for entry in &mut self.entries {
                 entry.fleet.change(now, &put);
             }
@@ -239,7 +241,7 @@
         (entry.version, entry.allowed) = (version, allowed);
     }
 
-    /// Each entry tells two others what it knows; later words go before former ones.
+    /// Each entry sends its state to two others; newer state replaces older state.
     fn gossip(&mut self) {
         for from in 0..ENTRIES {
             for _ in 0..2 {
@@ -256,7 +258,7 @@
         }
     }
 
-    /// A request at some entry; `Err` says which rule its place breaks.
+    /// Sends a request through a random entry; `Err` describes the rule that its placement violates.
     fn request(&mut self) -> Result<(), String> {
         let number = self.rng.usize(..ENTRIES);
         let (now, at) = (self.now, self.time());
@@ -272,43 +274,46 @@
         };
         entry.fleet.started(at, key, &need);
         let record = entry.fleet.record(key).expect("chosen").clone();
-        let told = |since: u64| now > since + GOSSIP_STEPS * STEP;
-        if let Some(since) = self.since.get(&record.zone)
-            && told(*since)
+        let must_know = |since: u64| now > since + GOSSIP_STEPS * STEP;
+        if let Some(since) = self.evacuated_since.get(&record.zone)
+            && must_know(*since)
         {
             return Err(format!(
-                "{} was evacuated at {since}, used at {now}",
+                "{} was evacuated at {since} and used at {now}",
                 record.zone
             ));
         }
         let zone = (0..ZONES)
             .find(|n| zone(*n) == record.zone)
             .expect("a zone");
-        if told(self.configured) && !regions(self.allowed).permits(&region(zone)) {
+        if must_know(self.configured_at) && !regions(self.allowed).permits(&region(zone)) {
             return Err(format!("{} is in no allowed region at {now}", record.zone));
         }
-        let Some(since) = self.cold.get(&record.address) else {
+        let Some(since) = self.cold_since.get(&record.address) else {
             return Ok(());
         };
-        if now >= since + COLD.as_millis() as u64 {
+        if now >= since + COLD_PERIOD.as_millis() as u64 {
             return Ok(());
         }
         let arrivals = self.arrivals.entry(record.address).or_default();
         arrivals.push(now);
         let latest = arrivals.iter().filter(|at| now - **at < 1_000).count();
-        match latest > BOUND {
-            true => Err(format!("{} has got {latest} while cold", record.address)),
+        match latest > MAX_COLD_ARRIVALS {
+            true => Err(format!(
+                "{} got {latest} requests in a second while cold",
+                record.address
+            )),
             false => Ok(()),
         }
     }
 }
 
-/// Plays the events, with a burst of requests in each step.
-fn play(events: &[Event], seed: u64) -> Result<(), String> {
+/// Applies the events, with a burst of requests in each step.
+fn simulate(events: &[Event], seed: u64) -> Result<(), String> {
     let mut world = World::new(seed);
     for event in events {
         world.now += STEP;
-        world.happen(*event);
+        world.apply(*event);
         world.gossip();
         for _ in 0..30 {
             world.request()?;
@@ -318,11 +323,11 @@
 }
 
 #[test]
-fn regions_evacuations_and_cold_servers_are_heeded_in_any_order() {
+fn placement_rules_hold_in_any_order_of_events() {
     fn holds(events: Vec<Event>, seed: u64) -> quickcheck::TestResult {
-        match play(&events, seed) {
+        match simulate(&events, seed) {
             Ok(()) => quickcheck::TestResult::passed(),
-            Err(broken) => quickcheck::TestResult::error(broken),
+            Err(violation) => quickcheck::TestResult::error(violation),
         }
     }
     let generator = Gen::from_size_and_seed(150, 26);
