--- a/lib/src/cold_start.rs
+++ b/lib/src/cold_start.rs
@@ -46,7 +46,7 @@
             return equal_share;
         }
         let senders = (self.rate as usize).max(1);
-        usize::from(entries.is_drawn(server, senders))
+        usize::from(entries.is_selected(server, senders))
     }
 }
 
--- a/lib/src/entry_shares.rs
+++ b/lib/src/entry_shares.rs
@@ -43,7 +43,7 @@
 
     /// Whether this entry is one of the `places` entries selected for the server by rendezvous
     /// hashing.
-    pub fn is_drawn(&self, server: SocketAddr, places: usize) -> bool {
+    pub fn is_selected(&self, server: SocketAddr, places: usize) -> bool {
         let Some(entries) = &self.entries else {
             return false;
         };
@@ -56,7 +56,7 @@
 
     /// Whether this entry is sampled for the server in period `turn`. Each entry is sampled
     /// independently with the given probability.
-    pub fn is_in_turn(&self, server: SocketAddr, turn: u64, probability: f64) -> bool {
+    pub fn is_sampled(&self, server: SocketAddr, turn: u64, probability: f64) -> bool {
         let Some(entries) = &self.entries else {
             return false;
         };
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -33,10 +33,10 @@
 use crate::zone_evacuation::EvacuationChange;
 
 pub use crate::fleet_choice::Exclusion;
-pub use crate::fleet_choice::LeftOut;
+pub use crate::fleet_choice::ExclusionCounts;
 pub use crate::fleet_choice::NoServer;
-pub use crate::fleet_server::Need;
-pub use crate::fleet_server::Outlook;
+pub use crate::fleet_server::ExpectedLoad;
+pub use crate::fleet_server::PlacementRequest;
 
 /// The exponential backoff for a server that cannot be reached, doubled for each consecutive failure. A
 /// server that crashed is back after some seconds.
@@ -79,7 +79,7 @@
     // All servers, listed or not. Several incarnations may share an address.
     pub(crate) addresses: HashMap<SocketAddr, Vec<ServerKey>>,
     pub(crate) incarnations: ServerIncarnations,
-    // Addresses of servers added since the last call of `take_joined`.
+    // Addresses of servers added since the last call of `take_added_addresses`.
     joined: Vec<SocketAddr>,
     // Whether a list was applied: servers that are added later may have started just now.
     initial_list_applied: bool,
@@ -109,7 +109,7 @@
     }
 
     /// Applies a complete list. Servers that are not in it are removed.
-    pub fn set_all(&mut self, now: Time, records: &[ServerRecord]) {
+    pub fn replace_servers(&mut self, now: Time, records: &[ServerRecord]) {
         let listed: HashSet<&Name> = records.iter().map(|record| &record.id).collect();
         let unlisted = self.ids.keys().filter(|id| !listed.contains(id));
         let missing: Vec<Name> = unlisted.cloned().collect();
@@ -134,7 +134,7 @@
 
     /// Records that the directory was rolled back to an older copy, which may list servers that have
     /// left since.
-    pub fn directory_returned(&mut self, now: Time) {
+    pub fn directory_rolled_back(&mut self, now: Time) {
         self.incarnations.directory_rolled_back(now);
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// The number of cold servers whose services limit requests to cold servers.
-    pub fn cold_count(&self, now: Time, services: &BTreeMap<Name, ServiceSpec>) -> usize {
+    pub fn cold_server_count(&self, now: Time, services: &BTreeMap<Name, ServiceSpec>) -> usize {
         let listed = self.servers.values().filter(|server| server.listed);
         let cold = listed.filter(|server| {
             let cold_start = services.get(&server.record.service).map(|spec| &spec.cold);
@@ -224,7 +224,7 @@
     }
 
     /// Takes the addresses of servers added since the last call.
-    pub fn take_joined(&mut self) -> Vec<SocketAddr> {
+    pub fn take_added_addresses(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.joined)
     }
 
@@ -266,13 +266,13 @@
     }
 
     /// Whether this entry has open requests at the listed server at the address.
-    pub fn runs_at(&self, address: SocketAddr) -> bool {
+    pub fn has_open_requests_at(&self, address: SocketAddr) -> bool {
         let key = self.key_at(address);
         key.is_some_and(|key| self.servers[key].open_requests > 0)
     }
 
     /// Whether the server's scout has sent a report recently.
-    pub fn has_scout(&self, now: Time, key: ServerKey) -> bool {
+    pub fn has_live_scout(&self, now: Time, key: ServerKey) -> bool {
         let report = self.servers.get(key).and_then(|s| s.report);
         report.is_some_and(|report| now.since(report.received_at) < SCOUT_TIMEOUT)
     }
@@ -286,12 +286,12 @@
     }
 
     /// Records a request sent to the server.
-    pub fn started(&mut self, now: Time, key: ServerKey, need: &Need<'_>) {
+    pub fn started(&mut self, now: Time, key: ServerKey, request: &PlacementRequest<'_>) {
         if let Some(server) = self.servers.get_mut(key) {
             server.open_requests += 1;
-            server.expected_tokens += need.tokens;
-            server.prefill_tokens += need.prompt;
-            server.record_unreported(now, need.prompt, need.tokens);
+            server.expected_tokens += request.tokens;
+            server.prefill_tokens += request.prompt;
+            server.record_unreported(now, request.prompt, request.tokens);
             server.cold.record_send(now);
             let address = server.record.address;
             server.limit.record_sent(now, address, &self.entries);
@@ -299,7 +299,13 @@
     }
 
     /// Records a request that another entry sent to the engine at the address.
-    pub fn started_elsewhere(&mut self, now: Time, engine: SocketAddr, prompt: u64, tokens: u64) {
+    pub fn record_sent_elsewhere(
+        &mut self,
+        now: Time,
+        engine: SocketAddr,
+        prompt: u64,
+        tokens: u64,
+    ) {
         if let Some(key) = self.key_at(engine) {
             self.servers[key].record_unreported(now, prompt, tokens);
         }
@@ -345,7 +351,7 @@
     }
 
     /// Records how many requests a plain server reports as running and waiting.
-    pub fn told_load(&mut self, key: ServerKey, running: u32, waiting: u32) {
+    pub fn record_queue(&mut self, key: ServerKey, running: u32, waiting: u32) {
         if let Some(server) = self.servers.get_mut(key) {
             let reported = f64::from(running + waiting);
             server.other_requests = (reported - f64::from(server.open_requests)).max(0.0);
--- a/lib/src/fleet_choice.rs
+++ b/lib/src/fleet_choice.rs
@@ -11,9 +11,9 @@
 
 use crate::cold_start::ColdStart;
 use crate::copy_type;
+use crate::fleet::ExpectedLoad;
 use crate::fleet::Fleet;
-use crate::fleet::Need;
-use crate::fleet::Outlook;
+use crate::fleet::PlacementRequest;
 use crate::fleet_server::RegionMemory;
 use crate::fleet_server::Server;
 use crate::ids::Name;
@@ -71,7 +71,7 @@
 
 /// The number of servers that were excluded from a choice, by reason.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct LeftOut {
+pub struct ExclusionCounts {
     /// See [`Exclusion::Region`].
     pub region: u32,
     /// See [`Exclusion::Evacuated`].
@@ -82,7 +82,7 @@
     pub limited: u32,
 }
 
-impl LeftOut {
+impl ExclusionCounts {
     fn add(&mut self, reason: Exclusion) {
         match reason {
             Exclusion::Region => self.region += 1,
@@ -95,18 +95,18 @@
     /// The reason that is expected to cease first.
     fn most_transient(&self) -> NoServer {
         match self {
-            LeftOut { limited: 1.., .. } => NoServer::Excluded(Exclusion::Limited),
-            LeftOut { cold: 1.., .. } => NoServer::Excluded(Exclusion::Cold),
-            LeftOut { evacuated: 1.., .. } => NoServer::Excluded(Exclusion::Evacuated),
-            LeftOut { region: 1.., .. } => NoServer::Excluded(Exclusion::Region),
-            LeftOut { .. } => NoServer::None,
+            ExclusionCounts { limited: 1.., .. } => NoServer::Excluded(Exclusion::Limited),
+            ExclusionCounts { cold: 1.., .. } => NoServer::Excluded(Exclusion::Cold),
+            ExclusionCounts { evacuated: 1.., .. } => NoServer::Excluded(Exclusion::Evacuated),
+            ExclusionCounts { region: 1.., .. } => NoServer::Excluded(Exclusion::Region),
+            ExclusionCounts { .. } => NoServer::None,
         }
     }
 }
 
-impl fmt::Display for LeftOut {
+impl fmt::Display for ExclusionCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let LeftOut {
+        let ExclusionCounts {
             region,
             evacuated,
             cold,
@@ -121,20 +121,20 @@
 
 impl Fleet {
     /// The load that a request would meet at an engine.
-    pub fn outlook(
+    pub fn expected_load(
         &self,
         now: Time,
         key: ServerKey,
-        need: &Need<'_>,
+        request: &PlacementRequest<'_>,
         spec: &ServiceSpec,
-    ) -> Outlook {
+    ) -> ExpectedLoad {
         let (Some(server), Some(engine)) = (self.servers.get(key), &spec.engine) else {
-            return Outlook::default();
+            return ExpectedLoad::default();
         };
-        Outlook {
-            memory: server.memory_fill(now, need.tokens, engine),
+        ExpectedLoad {
+            memory: server.memory_fill(now, request.tokens, engine),
             before: server.prefill_backlog(now),
-            own: server.prefill_time(now, need.prompt as f64),
+            own: server.prefill_time(now, request.prompt as f64),
             running: server.requests(now),
             slots: engine.slots,
         }
@@ -144,27 +144,27 @@
     pub fn choose(
         &self,
         now: Time,
-        need: &Need<'_>,
+        request: &PlacementRequest<'_>,
         spec: &ServiceSpec,
     ) -> Result<ServerKey, NoServer> {
         let memory = spec
             .engine
             .as_ref()
-            .map(|engine| self.region_memory(now, need, engine));
+            .map(|engine| self.region_memory(now, request, engine));
         let mut best: Option<(f64, ServerKey)> = None;
-        let mut excluded = LeftOut::default();
+        let mut excluded = ExclusionCounts::default();
         for (key, server) in &self.servers {
-            if !need.matches(key, server) {
+            if !request.matches(key, server) {
                 continue;
             }
-            if let Some(reason) = self.exclusion(now, server, need, spec) {
+            if let Some(reason) = self.exclusion(now, server, request, spec) {
                 excluded.add(reason);
                 continue;
             }
             let region = self.place.region_of(&server.record.zone);
             let region_memory = memory.as_ref().and_then(|memory| memory.get(region));
-            let headroom = region_memory.map_or(0.0, |m| m.headroom_cost(need.tokens));
-            let cost = self.cost(now, server, need, spec) + headroom;
+            let headroom = region_memory.map_or(0.0, |m| m.headroom_cost(request.tokens));
+            let cost = self.cost(now, server, request, spec) + headroom;
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, key));
             }
@@ -180,7 +180,7 @@
     }
 
     /// Whether a run may continue at the server, for runs whose server is given and not chosen.
-    pub fn may_get(&self, key: ServerKey, regions: &AllowedRegions) -> bool {
+    pub fn is_permitted_at(&self, key: ServerKey, regions: &AllowedRegions) -> bool {
         let Some(server) = self.servers.get(key) else {
             return false;
         };
@@ -189,14 +189,19 @@
     }
 
     /// The number of servers of this entry's region that are excluded for the request, by reason.
-    pub fn left_out_near(&self, now: Time, need: &Need<'_>, spec: &ServiceSpec) -> LeftOut {
-        let mut excluded = LeftOut::default();
+    pub fn exclusions_in_own_region(
+        &self,
+        now: Time,
+        request: &PlacementRequest<'_>,
+        spec: &ServiceSpec,
+    ) -> ExclusionCounts {
+        let mut excluded = ExclusionCounts::default();
         for (key, server) in &self.servers {
             let near = self.locality(&server.record.zone) != Locality::OtherRegion;
-            if !near || !need.matches(key, server) {
+            if !near || !request.matches(key, server) {
                 continue;
             }
-            if let Some(reason) = self.exclusion(now, server, need, spec) {
+            if let Some(reason) = self.exclusion(now, server, request, spec) {
                 excluded.add(reason);
             }
         }
@@ -207,11 +212,11 @@
         &self,
         now: Time,
         server: &Server,
-        need: &Need<'_>,
+        request: &PlacementRequest<'_>,
         spec: &ServiceSpec,
     ) -> Option<Exclusion> {
         let zone = &server.record.zone;
-        if !need.regions.permits(self.place.region_of(zone)) {
+        if !request.regions.permits(self.place.region_of(zone)) {
             return Some(Exclusion::Region);
         }
         if self.evacuated.contains(zone) {
@@ -255,10 +260,15 @@
     }
 
     /// The servers that the request may go to.
-    pub fn options(&self, now: Time, need: &Need<'_>, spec: &ServiceSpec) -> Vec<Candidate> {
+    pub fn options(
+        &self,
+        now: Time,
+        request: &PlacementRequest<'_>,
+        spec: &ServiceSpec,
+    ) -> Vec<Candidate> {
         let servers = self.servers.iter();
         let eligible = servers.filter(|(key, server)| {
-            need.matches(*key, server) && self.exclusion(now, server, need, spec).is_none()
+            request.matches(*key, server) && self.exclusion(now, server, request, spec).is_none()
         });
         let candidates = eligible.map(|(key, server)| Candidate {
             key,
@@ -267,7 +277,13 @@
         candidates.collect()
     }
 
-    fn cost(&self, now: Time, server: &Server, need: &Need<'_>, spec: &ServiceSpec) -> f64 {
+    fn cost(
+        &self,
+        now: Time,
+        server: &Server,
+        request: &PlacementRequest<'_>,
+        spec: &ServiceSpec,
+    ) -> f64 {
         let crosses_zones =
             spec.engine.is_some() && self.locality(&server.record.zone) == Locality::SameRegion;
         let crossing = if crosses_zones {
@@ -280,8 +296,8 @@
         let backoff = server.backoff_until.since(now).as_secs_f64() * 1_000.0;
         let cold = server.cold.remaining(now, spec.cold.period).as_secs_f64() * COLD_SECOND_COST;
         let load = match &spec.engine {
-            Some(engine) => server.engine_cost(now, need, engine),
-            None => server.queue_cost(self.service_time(need.service, server)),
+            Some(engine) => server.engine_cost(now, request, engine),
+            None => server.queue_cost(self.service_time(request.service, server)),
         };
         distance + 10.0 * backoff + cold + load
     }
@@ -297,13 +313,13 @@
     fn region_memory(
         &self,
         now: Time,
-        need: &Need<'_>,
+        request: &PlacementRequest<'_>,
         engine: &EngineSpec,
     ) -> HashMap<Name, RegionMemory> {
         let mut regions: HashMap<Name, RegionMemory> = HashMap::new();
         for server in self.servers.values() {
             let evacuated = self.evacuated.contains(&server.record.zone);
-            if &server.record.service != need.service || !server.listed || evacuated {
+            if &server.record.service != request.service || !server.listed || evacuated {
                 continue;
             }
             let region = self.place.region_of(&server.record.zone);
--- a/lib/src/fleet_limits.rs
+++ b/lib/src/fleet_limits.rs
@@ -5,12 +5,12 @@
 
 use crate::fleet::Exclusion;
 use crate::fleet::Fleet;
-use crate::fleet::Need;
+use crate::fleet::PlacementRequest;
 use crate::fleet_server::Server;
 use crate::ids::Name;
 use crate::routing::ServerKey;
 use crate::server_limit::LimitChange;
-use crate::server_limit::LimitWord;
+use crate::server_limit::LimitReport;
 use crate::server_limit::RequestRate;
 use crate::site::ServiceSpec;
 use crate::time::Time;
@@ -20,7 +20,7 @@
 
 impl Fleet {
     /// Applies the limit in a response to a request that was sent at `sent`, or the absence of one.
-    pub fn told_limit(
+    pub fn record_limit(
         &mut self,
         now: Time,
         key: ServerKey,
@@ -39,7 +39,7 @@
     }
 
     /// The number of listed servers with a limit.
-    pub fn limited_count(&self) -> usize {
+    pub fn limited_server_count(&self) -> usize {
         let listed = self.servers.values().filter(|server| server.listed);
         listed
             .filter(|server| server.limit.rate().is_some())
@@ -47,7 +47,10 @@
     }
 
     /// The addresses of listed servers of the service that have a limit.
-    pub fn limited_at<'a>(&'a self, service: &'a Name) -> impl Iterator<Item = SocketAddr> + 'a {
+    pub fn limited_addresses<'a>(
+        &'a self,
+        service: &'a Name,
+    ) -> impl Iterator<Item = SocketAddr> + 'a {
         let limited = self.servers.values().filter(move |server| {
             let has_limit = server.limit.rate().is_some();
             has_limit && server.listed && server.record.service == *service
@@ -56,7 +59,11 @@
     }
 
     /// Applies another entry's reports of limits. Returns the servers whose limits changed.
-    pub fn hear_limits(&mut self, now: Time, reports: &[LimitWord]) -> Vec<(Name, LimitChange)> {
+    pub fn apply_limit_reports(
+        &mut self,
+        now: Time,
+        reports: &[LimitReport],
+    ) -> Vec<(Name, LimitChange)> {
         let mut changes = Vec::new();
         for report in reports {
             let Some(key) = self.ids.get(&report.server) else {
@@ -70,10 +77,10 @@
     }
 
     /// The reports of servers' limits to other entries, the latest first.
-    pub fn limit_words(&self, now: Time) -> Vec<LimitWord> {
+    pub fn limit_reports(&self, now: Time) -> Vec<LimitReport> {
         let listed = self.ids.iter();
         let reports = listed.filter_map(|(id, key)| self.servers[*key].limit.report(now, id));
-        let mut reports: Vec<LimitWord> = reports.collect();
+        let mut reports: Vec<LimitReport> = reports.collect();
         reports.sort_by_key(|report| report.age);
         reports.truncate(MAX_REPORTS);
         reports
@@ -81,15 +88,15 @@
 
     /// How long until this entry may send a request to one of the servers that are excluded only by
     /// their limits.
-    pub fn until_unlimited(
+    pub fn shortest_limit_wait(
         &self,
         now: Time,
-        need: &Need<'_>,
+        request: &PlacementRequest<'_>,
         spec: &ServiceSpec,
     ) -> Option<Duration> {
         let limited = self.servers.iter().filter(|(key, server)| {
             let limited = Some(Exclusion::Limited);
-            need.matches(*key, server) && self.exclusion(now, server, need, spec) == limited
+            request.matches(*key, server) && self.exclusion(now, server, request, spec) == limited
         });
         let waits = limited.filter_map(|(_, server)| self.limit_wait(now, server));
         waits.min()
--- a/lib/src/fleet_news.rs
+++ b/lib/src/fleet_news.rs
@@ -60,7 +60,7 @@
     }
 
     /// Removes engines that only their scouts have announced and whose scouts have become silent.
-    pub fn trim_announced(&mut self, now: Time) {
+    pub fn remove_silent_engines(&mut self, now: Time) {
         let announced = self
             .ids
             .iter()
@@ -135,7 +135,7 @@
     /// Records that a request found a different server at the address than the expected one, which has
     /// ended. If the scout there has reported recently, the other server replaces it at once; otherwise
     /// the address may belong to another service by now.
-    pub fn is_other(&mut self, now: Time, key: ServerKey, other: &Name) {
+    pub fn record_mismatch(&mut self, now: Time, key: ServerKey, other: &Name) {
         let Some(server) = self.servers.get(key) else {
             return;
         };
@@ -144,7 +144,7 @@
         if self.ids.get(&id) != Some(&key) {
             return;
         }
-        if self.has_scout(now, key) {
+        if self.has_live_scout(now, key) {
             self.replace(now, key, other);
         } else {
             self.end_incarnation(now, &id);
--- a/lib/src/fleet_server.rs
+++ b/lib/src/fleet_server.rs
@@ -69,7 +69,7 @@
 
 /// The resources that a request needs, and the servers that it may be sent to.
 #[derive(Clone, Debug)]
-pub struct Need<'a> {
+pub struct PlacementRequest<'a> {
     /// The service.
     pub service: &'a Name,
     /// The tokens of its prompt; zero for a plain call.
@@ -86,10 +86,10 @@
     pub regions: &'a AllowedRegions,
 }
 
-impl<'a> Need<'a> {
+impl<'a> PlacementRequest<'a> {
     /// A request that was sent to no server yet and may go to any.
     pub fn new(service: &'a Name, prompt: u64, tokens: u64) -> Self {
-        Need {
+        PlacementRequest {
             service,
             prompt,
             tokens,
@@ -112,7 +112,7 @@
 
 /// The load that a request would meet at an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Outlook {
+pub struct ExpectedLoad {
     /// The peak fill level of the engine's memory, as a fraction, including this request.
     pub memory: f64,
     /// How long prefill of the prompts already there takes.
@@ -269,13 +269,18 @@
         self.listed && self.leaving_since.is_none()
     }
 
-    pub(crate) fn engine_cost(&self, now: Time, need: &Need<'_>, engine: &EngineSpec) -> f64 {
-        let prefill = self.pending_prefill(now) + need.prompt as f64;
-        let used = (self.used_tokens(now) + need.tokens) as f64;
+    pub(crate) fn engine_cost(
+        &self,
+        now: Time,
+        request: &PlacementRequest<'_>,
+        engine: &EngineSpec,
+    ) -> f64 {
+        let prefill = self.pending_prefill(now) + request.prompt as f64;
+        let used = (self.used_tokens(now) + request.tokens) as f64;
         let requests = f64::from(self.requests(now));
         let waiting = (requests + 1.0 - f64::from(engine.slots)).max(0.0);
         let usable = engine.capacity as f64 * USABLE_MEMORY;
-        let shortage = (used - usable).max(0.0) / (need.tokens.max(1) as f64);
+        let shortage = (used - usable).max(0.0) / (request.tokens.max(1) as f64);
         let wait = prefill_cost(prefill / self.prefill_rate(now));
         let failure_rate = self
             .fresh_report(now)
--- a/lib/src/peer_words.rs
+++ b/lib/src/peer_words.rs
@@ -10,7 +10,7 @@
 use crate::ids::Name;
 use crate::recent_rejections::RejectionNotice;
 use crate::revision::Revision;
-use crate::server_limit::LimitWord;
+use crate::server_limit::LimitReport;
 use crate::site::ServerChanges;
 use crate::site::ServerListing;
 use crate::site::SiteConfig;
@@ -133,7 +133,7 @@
         /// The evacuated availability zones, as it knows them.
         pub evacuated: EvacuatedZones,
         /// The limits that backend servers name, some of the latest.
-        pub limits: Vec<LimitWord>,
+        pub limits: Vec<LimitReport>,
     }
 
     /// How a request ended at an engine.
--- a/lib/src/server_limit.rs
+++ b/lib/src/server_limit.rs
@@ -56,7 +56,7 @@
 
 value_type! {
     /// One entry's report of a server's limit to other entries.
-    pub struct LimitWord {
+    pub struct LimitReport {
         /// The server's identifier.
         pub server: Name,
         /// The limit; `None` if it was lifted.
@@ -93,7 +93,7 @@
         let rate = rate.per_second().max(MIN_RATE);
         let all = entries.count().unwrap_or(1);
         let sharing = ((rate + EXTRA_ENTRIES) as usize).min(all);
-        match entries.is_drawn(server, sharing) {
+        match entries.is_selected(server, sharing) {
             true => Share::Rate(rate / sharing as f64),
             false => Share::Sampled(rate * PROBE_FRACTION / all as f64),
         }
@@ -138,7 +138,7 @@
     }
 
     /// Applies another entry's report if it is newer than what is known.
-    pub fn apply_report(&mut self, now: Time, report: &LimitWord) -> Option<LimitChange> {
+    pub fn apply_report(&mut self, now: Time, report: &LimitReport) -> Option<LimitChange> {
         let at = now.before(Duration::from_millis(u64::from(report.age)));
         match self.known {
             Some(known) if known.at >= at => None,
@@ -147,10 +147,10 @@
     }
 
     /// The report to other entries: of a limit in force, or of one that was lifted recently.
-    pub fn report(&self, now: Time, server: &Name) -> Option<LimitWord> {
+    pub fn report(&self, now: Time, server: &Name) -> Option<LimitReport> {
         let known = self.known?;
         let age = now.since(known.at);
-        (known.rate.is_some() || age < LIFTED_REPORT_PERIOD).then(|| LimitWord {
+        (known.rate.is_some() || age < LIFTED_REPORT_PERIOD).then(|| LimitReport {
             server: server.clone(),
             limit: known.rate,
             age: age.as_millis() as u32,
@@ -185,7 +185,7 @@
             }
             Share::Sampled(probability) => {
                 let sent = whole_seconds(self.last_sent) == whole_seconds(now);
-                let sampled = !sent && entries.is_in_turn(server, whole_seconds(now), probability);
+                let sampled = !sent && entries.is_sampled(server, whole_seconds(now), probability);
                 sampled.then_some(Duration::ZERO)
             }
         }
--- a/lib/src/stream_admission.rs
+++ b/lib/src/stream_admission.rs
@@ -25,10 +25,10 @@
 
 use crate::admission::RetrySchedule;
 use crate::copy_type;
+use crate::fleet::ExpectedLoad;
 use crate::fleet::Fleet;
-use crate::fleet::Need;
 use crate::fleet::NoServer;
-use crate::fleet::Outlook;
+use crate::fleet::PlacementRequest;
 use crate::ids::Name;
 use crate::routing::ServerKey;
 use crate::site::ServiceSpec;
@@ -124,7 +124,7 @@
     /// The engine that would have served it best.
     pub server: ServerKey,
     /// The load that it would have met there.
-    pub outlook: Outlook,
+    pub expected_load: ExpectedLoad,
 }
 
 /// Why no engine was selected for a request.
@@ -140,14 +140,14 @@
 pub fn select_engine(
     fleet: &Fleet,
     now: Time,
-    need: &Need<'_>,
+    need: &PlacementRequest<'_>,
     spec: &ServiceSpec,
     request: &AdmissionRequest,
 ) -> Result<ServerKey, AdmissionError> {
     let mut excluded = need.tried.to_vec();
     let mut rejected = None;
     for _ in 0..MAX_CHECKED {
-        let need = Need {
+        let need = PlacementRequest {
             tried: &excluded,
             ..need.clone()
         };
@@ -155,14 +155,14 @@
             Ok(server) => server,
             Err(why) => return Err(rejected.unwrap_or(AdmissionError::NoServer(why))),
         };
-        let outlook = fleet.outlook(now, server, &need, spec);
-        let Err(bottleneck) = check(request, &outlook) else {
+        let expected_load = fleet.expected_load(now, server, &need, spec);
+        let Err(bottleneck) = check(request, &expected_load) else {
             return Ok(server);
         };
         rejected.get_or_insert(AdmissionError::Rejected(Rejection {
             bottleneck,
             server,
-            outlook,
+            expected_load,
         }));
         excluded.push(server);
     }
@@ -170,9 +170,9 @@
 }
 
 /// Checks whether an engine with this outlook has room for the stream.
-pub fn check(request: &AdmissionRequest, outlook: &Outlook) -> Result<(), Bottleneck> {
+pub fn check(request: &AdmissionRequest, expected_load: &ExpectedLoad) -> Result<(), Bottleneck> {
     let reserve = f64::from(request.rank) * KIND_RESERVE;
-    let bonus = match request.age + outlook.before + outlook.own {
+    let bonus = match request.age + expected_load.before + expected_load.own {
         _ if request.age.is_zero() => 0.0,
         begins if begins <= request.objective => RETRY_BONUS,
         _ => -LATE_RESERVE,
@@ -183,19 +183,19 @@
         bonus
     };
     let share = (MEMORY_SHARE - reserve).max(MIN_MEMORY_SHARE) + bonus;
-    if outlook.running >= outlook.slots {
+    if expected_load.running >= expected_load.slots {
         return Err(Bottleneck::Slots);
     }
     // A request larger than the share is admitted by an idle engine: no other engine would ever have
     // more room for it.
-    if outlook.memory > share && outlook.running > 0 {
+    if expected_load.memory > share && expected_load.running > 0 {
         return Err(Bottleneck::Memory);
     }
     let prefill = match request.rank {
         0 => PREFILL_SHARE_URGENT,
         _ => PREFILL_SHARE_OTHER,
     };
-    if outlook.before > request.objective.mul_f64((prefill + bonus).max(0.0)) {
+    if expected_load.before > request.objective.mul_f64((prefill + bonus).max(0.0)) {
         return Err(Bottleneck::Prefill);
     }
     Ok(())
--- a/lib/tests/burst/mod.rs
+++ b/lib/tests/burst/mod.rs
@@ -14,8 +14,8 @@
 use cicada_lib::dialect::EngineRun;
 use cicada_lib::engine_load_tracker::EngineLoadTracker;
 use cicada_lib::fleet::Fleet;
-use cicada_lib::fleet::Need;
 use cicada_lib::fleet::Place;
+use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::move_plan;
 use cicada_lib::peer_words::EngineHere;
@@ -317,7 +317,12 @@
                 Event::RunStarted(entry, message) => {
                     let now = Time::from_millis(self.now);
                     let fleet = &mut self.entries[entry].fleet;
-                    fleet.started_elsewhere(now, message.engine, message.prompt, message.tokens);
+                    fleet.record_sent_elsewhere(
+                        now,
+                        message.engine,
+                        message.prompt,
+                        message.tokens,
+                    );
                 }
             }
         }
@@ -345,7 +350,7 @@
         let service = Name::new("llm");
         // Callers' length estimates are wrong by a factor of up to e in both directions.
         let estimate = caller.output as f64 * (self.rng.f64() * 2.0 - 1.0).exp();
-        let need = Need::new(&service, caller.prompt, caller.prompt + estimate as u64);
+        let need = PlacementRequest::new(&service, caller.prompt, caller.prompt + estimate as u64);
         let entry_state = &mut self.entries[entry];
         let asking = AdmissionRequest {
             rank: kind.priority,
--- a/lib/tests/cold_start.rs
+++ b/lib/tests/cold_start.rs
@@ -8,9 +8,9 @@
 use cicada_lib::entry_shares::EntryShares;
 use cicada_lib::fleet::Exclusion;
 use cicada_lib::fleet::Fleet;
-use cicada_lib::fleet::Need;
 use cicada_lib::fleet::NoServer;
 use cicada_lib::fleet::Place;
+use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::EngineHere;
 use cicada_lib::peer_words::EngineLoad;
@@ -84,7 +84,7 @@
     let records: Vec<ServerRecord> = (0..WARM_SERVERS)
         .map(|n| record(n, Duration::ZERO))
         .collect();
-    fleet.set_all(Time::ZERO, &records);
+    fleet.replace_servers(Time::ZERO, &records);
     fleet.set_entries(entry(number), (0..entries).map(entry));
     fleet
 }
@@ -136,7 +136,7 @@
             continue;
         }
         let fleet = &mut fleets[rng.usize(..entries)];
-        let need = Need::new(&service, 2_500, 2_900);
+        let need = PlacementRequest::new(&service, 2_500, 2_900);
         let Ok(key) = fleet.choose(now, &need, &spec) else {
             refused += 1;
             continue;
@@ -221,9 +221,9 @@
         regions: HashMap::new(),
     });
     let now = Time::from_millis(1);
-    fleet.set_all(now, &[record(0, Duration::from_millis(700))]);
+    fleet.replace_servers(now, &[record(0, Duration::from_millis(700))]);
     let service = Name::new("llm");
-    let need = Need::new(&service, 2_500, 2_900);
+    let need = PlacementRequest::new(&service, 2_500, 2_900);
     let chosen = fleet.choose(now, &need, &spec(start.clone()));
     assert_eq!(chosen, Err(NoServer::Excluded(Exclusion::Cold)));
     let later = Time::from_millis(702);
@@ -243,9 +243,9 @@
     let key = |fleet: &Fleet| fleet.key_at(engine(0)).expect("listed");
     let accepted = |fleet: &mut Fleet, ms: u64| {
         let candidates = [key(fleet)];
-        let need = Need {
+        let need = PlacementRequest {
             among: Some(&candidates),
-            ..Need::new(&service, 2_500, 2_900)
+            ..PlacementRequest::new(&service, 2_500, 2_900)
         };
         let now = Time::from_millis(ms);
         let mut sent = 0;
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -6,9 +6,9 @@
 
 use cicada_lib::fleet::Exclusion;
 use cicada_lib::fleet::Fleet;
-use cicada_lib::fleet::Need;
 use cicada_lib::fleet::NoServer;
 use cicada_lib::fleet::Place;
+use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::EngineHere;
 use cicada_lib::peer_words::EngineLoad;
@@ -73,10 +73,10 @@
     }
 }
 
-fn need<'a>(service: &'a Name, tried: &'a [ServerKey]) -> Need<'a> {
-    Need {
+fn request<'a>(service: &'a Name, tried: &'a [ServerKey]) -> PlacementRequest<'a> {
+    PlacementRequest {
         tried,
-        ..Need::new(service, PROMPT_TOKENS, REQUEST_TOKENS)
+        ..PlacementRequest::new(service, PROMPT_TOKENS, REQUEST_TOKENS)
     }
 }
 
@@ -87,9 +87,9 @@
 /// Sends a request and returns the identifier of the chosen engine.
 fn send(fleet: &mut Fleet, now: Time) -> Result<String, NoServer> {
     let service = Name::new("llm");
-    let need = need(&service, &[]);
-    let key = fleet.choose(now, &need, &spec())?;
-    fleet.started(now, key, &need);
+    let request = request(&service, &[]);
+    let key = fleet.choose(now, &request, &spec())?;
+    fleet.started(now, key, &request);
     Ok(fleet
         .record(key)
         .map(|r| r.id.to_string())
@@ -102,7 +102,7 @@
 fn long_requests_fill_the_engines_evenly() {
     let mut fleet = fleet("a");
     let records: Vec<ServerRecord> = (0..4).map(|n| record(n, "a")).collect();
-    fleet.set_all(millis(0), &records);
+    fleet.replace_servers(millis(0), &records);
     fleet.report(millis(0), &here(0, "a"), &report(16_000, 4));
     let mut counts: HashMap<String, u64> = HashMap::new();
     for number in 0..20 {
@@ -136,7 +136,7 @@
         record(3, "b"),
         record(4, "b"),
     ];
-    fleet.set_all(millis(0), &records);
+    fleet.replace_servers(millis(0), &records);
     for (number, zone, used) in [
         (0, "a", 17_000),
         (1, "a", 17_000),
@@ -160,7 +160,7 @@
         .map(|n| record(n, "a"))
         .chain((4..8).map(|n| record(n, "b")))
         .collect();
-    fleet.set_all(millis(0), &records);
+    fleet.replace_servers(millis(0), &records);
     for number in 0..8 {
         let zone = if number < 4 { "a" } else { "b" };
         fleet.report(millis(0), &here(number, zone), &report(10_000, 3));
@@ -179,7 +179,7 @@
     let mut fleets: Vec<Fleet> = (0..5).map(|_| fleet("a")).collect();
     let records: Vec<ServerRecord> = (0..4).map(|n| record(n, "a")).collect();
     for fleet in &mut fleets {
-        fleet.set_all(millis(0), &records);
+        fleet.replace_servers(millis(0), &records);
         for number in 0..4 {
             let used = if number == 3 { 0 } else { 6_000 };
             fleet.report(millis(0), &here(number, "a"), &report(used, 2));
@@ -192,7 +192,7 @@
         let number: u16 = id.trim_start_matches("i-").parse().unwrap();
         for (other, fleet) in fleets.iter_mut().enumerate() {
             if other != entry {
-                fleet.started_elsewhere(now, address(number), PROMPT_TOKENS, REQUEST_TOKENS);
+                fleet.record_sent_elsewhere(now, address(number), PROMPT_TOKENS, REQUEST_TOKENS);
             }
         }
         *counts.entry(id).or_default() += 1;
@@ -203,7 +203,7 @@
 #[test]
 fn a_leaving_or_removed_server_gets_no_new_requests() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a"), record(1, "a")]);
+    fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "a")]);
     let mut draining = record(0, "a");
     draining.phase = ServerPhase::Draining;
     fleet.change(millis(1), &ServerChange::Put(draining));
@@ -219,7 +219,7 @@
 #[test]
 fn an_older_list_entry_does_not_revive_a_leaving_server() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a"), record(1, "a")]);
+    fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "a")]);
     let mut leaving = report(0, 0);
     leaving.leaving = true;
     assert!(
@@ -235,18 +235,18 @@
 #[test]
 fn another_incarnation_under_the_same_identifier_is_another_server() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a")]);
+    fleet.replace_servers(millis(0), &[record(0, "a")]);
     let service = Name::new("llm");
     let before = fleet
-        .choose(millis(1), &need(&service, &[]), &spec())
+        .choose(millis(1), &request(&service, &[]), &spec())
         .unwrap();
-    fleet.started(millis(1), before, &need(&service, &[]));
+    fleet.started(millis(1), before, &request(&service, &[]));
     let mut restarted = record(0, "a");
     restarted.born = 2;
     fleet.change(millis(2), &ServerChange::Put(restarted));
     assert!(fleet.leaving(before).is_some());
     let after = fleet
-        .choose(millis(3), &need(&service, &[]), &spec())
+        .choose(millis(3), &request(&service, &[]), &spec())
         .unwrap();
     assert_ne!(before, after);
     assert!(fleet.leaving(after).is_none());
@@ -255,10 +255,10 @@
 #[test]
 fn an_unreachable_server_is_backed_off_and_retried() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a"), record(1, "a")]);
+    fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "a")]);
     let service = Name::new("llm");
     let key = fleet
-        .choose(millis(0), &need(&service, &[]), &spec())
+        .choose(millis(0), &request(&service, &[]), &spec())
         .unwrap();
     fleet.failed(millis(0), key, true);
     let lost = fleet.record(key).map(|r| r.id.to_string()).unwrap();
@@ -281,14 +281,14 @@
     );
     let service = Name::new("llm");
     let key = fleet
-        .choose(millis(2), &need(&service, &[]), &spec())
+        .choose(millis(2), &request(&service, &[]), &spec())
         .unwrap();
     assert_eq!(
         Fleet::expected_id(fleet.record(key).unwrap()),
         Name::default()
     );
-    fleet.started(millis(2), key, &need(&service, &[]));
-    fleet.set_all(millis(3), &[record(0, "a")]);
+    fleet.started(millis(2), key, &request(&service, &[]));
+    fleet.replace_servers(millis(3), &[record(0, "a")]);
     assert!(fleet.leaving(key).is_none());
     assert_eq!(fleet.record(key).unwrap().id, Name::new("i-0"));
 }
@@ -298,9 +298,9 @@
     let mut fleet = fleet("a");
     fleet.announced(millis(0), &here(0, "a"));
     fleet.report(millis(100), &here(0, "a"), &report(0, 0));
-    fleet.trim_announced(millis(500));
+    fleet.remove_silent_engines(millis(500));
     assert!(send(&mut fleet, millis(600)).is_ok());
-    fleet.trim_announced(millis(5_000));
+    fleet.remove_silent_engines(millis(5_000));
     assert_eq!(send(&mut fleet, millis(5_100)), Err(NoServer::None));
 }
 
@@ -309,18 +309,18 @@
 #[test]
 fn an_engine_found_in_place_of_another_serves_before_the_list_has_it() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a")]);
+    fleet.replace_servers(millis(0), &[record(0, "a")]);
     let service = Name::new("llm");
     let key = fleet
-        .choose(millis(1), &need(&service, &[]), &spec())
+        .choose(millis(1), &request(&service, &[]), &spec())
         .unwrap();
-    fleet.is_other(millis(2), key, &Name::new("i-new"));
+    fleet.record_mismatch(millis(2), key, &Name::new("i-new"));
     assert_eq!(send(&mut fleet, millis(3)), Err(NoServer::None));
     fleet.report(millis(4), &here(0, "a"), &report(0, 0));
     assert_eq!(send(&mut fleet, millis(5)).unwrap(), "i-new");
     // Without a recent scout report the address may belong to another service by now.
     let key = fleet.key_at(address(0)).unwrap();
-    fleet.is_other(millis(3_006), key, &Name::new("i-newer"));
+    fleet.record_mismatch(millis(3_006), key, &Name::new("i-newer"));
     assert_eq!(send(&mut fleet, millis(3_007)), Err(NoServer::None));
     fleet.report(millis(9_000), &here(0, "a"), &report(0, 0));
     assert_eq!(
@@ -339,13 +339,13 @@
     near.slots = 6;
     let mut far = record(1, "b");
     far.slots = 6;
-    fleet.set_all(millis(0), &[near, far]);
+    fleet.replace_servers(millis(0), &[near, far]);
     let service = Name::new("llm");
-    let need = Need::new(&service, 0, 0);
+    let request = PlacementRequest::new(&service, 0, 0);
     let mut went = Vec::new();
     for _ in 0..12 {
-        let key = fleet.choose(millis(1), &need, &plain()).unwrap();
-        fleet.started(millis(1), key, &need);
+        let key = fleet.choose(millis(1), &request, &plain()).unwrap();
+        fleet.started(millis(1), key, &request);
         went.push(fleet.record(key).unwrap().id.to_string());
     }
     assert!(went[..6].iter().all(|id| id == "i-0"), "{went:?}");
@@ -358,21 +358,21 @@
 #[test]
 fn an_ended_incarnation_is_not_revived_by_the_list() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a")]);
+    fleet.replace_servers(millis(0), &[record(0, "a")]);
     fleet.report(millis(1), &here(0, "a"), &report(5_000, 2));
     let key = fleet.key_at(address(0)).unwrap();
-    fleet.is_other(millis(2), key, &Name::new("i-new"));
+    fleet.record_mismatch(millis(2), key, &Name::new("i-new"));
     assert_eq!(send(&mut fleet, millis(3)).unwrap(), "i-new");
     let key = fleet.key_at(address(0)).unwrap();
     assert!(
         fleet.load(millis(3), key).0 > 5_000,
         "the scout's report is kept"
     );
-    fleet.set_all(millis(500), &[record(0, "a")]);
+    fleet.replace_servers(millis(500), &[record(0, "a")]);
     fleet.change(millis(600), &ServerChange::Put(record(0, "a")));
     assert_eq!(send(&mut fleet, millis(700)).unwrap(), "i-new");
     // By now the list should have it.
-    fleet.set_all(millis(6_000), &[]);
+    fleet.replace_servers(millis(6_000), &[]);
     assert_eq!(send(&mut fleet, millis(6_001)), Err(NoServer::None));
     // Another incarnation under the first identifier is not the one that ended.
     let mut restarted = record(0, "a");
@@ -385,7 +385,7 @@
 #[test]
 fn a_scout_reports_an_incarnation_before_the_list_has_it() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a"), record(1, "a")]);
+    fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "a")]);
     let id = Name::new("i-new");
     assert!(fleet.identified(millis(1), &here(0, "a"), &id));
     assert!(
@@ -394,7 +394,7 @@
     );
     let key = fleet.key_at(address(0)).unwrap();
     assert_eq!(fleet.record(key).unwrap().id, id);
-    fleet.set_all(millis(10), &[record(0, "a"), record(1, "a")]);
+    fleet.replace_servers(millis(10), &[record(0, "a"), record(1, "a")]);
     assert_eq!(fleet.servers().count(), 2);
     // Once listed, it is removed when the list says so.
     let mut listed = record(0, "a");
@@ -411,7 +411,7 @@
 #[test]
 fn a_scout_does_not_revive_an_engine_that_was_removed_from_the_list() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a")]);
+    fleet.replace_servers(millis(0), &[record(0, "a")]);
     fleet.change(millis(1), &ServerChange::Gone(Name::new("i-0")));
     assert!(!fleet.identified(millis(2), &here(0, "a"), &Name::new("i-0")));
     assert_eq!(send(&mut fleet, millis(3)), Err(NoServer::None));
@@ -425,11 +425,11 @@
 #[test]
 fn added_engines_are_returned_once() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a"), record(1, "a")]);
-    assert_eq!(fleet.take_joined().len(), 2);
-    fleet.set_all(millis(1), &[record(0, "a"), record(2, "a")]);
-    assert_eq!(fleet.take_joined(), [address(2)]);
-    assert!(fleet.take_joined().is_empty());
+    fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "a")]);
+    assert_eq!(fleet.take_added_addresses().len(), 2);
+    fleet.replace_servers(millis(1), &[record(0, "a"), record(2, "a")]);
+    assert_eq!(fleet.take_added_addresses(), [address(2)]);
+    assert!(fleet.take_added_addresses().is_empty());
 }
 
 /// A scout moves a run to an engine that this entry does not know. Only that run may go there; and no
@@ -437,24 +437,24 @@
 #[test]
 fn a_moved_run_may_go_to_an_unlisted_engine() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a"), record(1, "a")]);
+    fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "a")]);
     let service = Name::new("llm");
     let key = fleet.adopted(millis(1), &here(2, "a")).unwrap();
-    fleet.started(millis(1), key, &need(&service, &[]));
+    fleet.started(millis(1), key, &request(&service, &[]));
     assert_eq!(
         Fleet::expected_id(fleet.record(key).unwrap()),
         Name::default(),
         "its identifier is unknown"
     );
-    fleet.set_all(millis(2), &[]);
+    fleet.replace_servers(millis(2), &[]);
     assert_eq!(send(&mut fleet, millis(3)), Err(NoServer::None));
-    fleet.ended(key, need(&service, &[]).tokens);
+    fleet.ended(key, request(&service, &[]).tokens);
     assert!(fleet.record(key).is_none(), "it is removed");
     assert!(
         fleet.adopted(millis(4), &here(1, "a")).is_none(),
         "it was removed from the list"
     );
-    fleet.set_all(millis(5), &[record(1, "a")]);
+    fleet.replace_servers(millis(5), &[record(1, "a")]);
     let listed = fleet.key_at(address(1));
     assert_eq!(fleet.adopted(millis(6), &here(1, "a")), listed);
 }
@@ -470,7 +470,7 @@
         ..report(0, 0)
     };
     let mut near = fleet("a");
-    near.set_all(millis(0), &[record(0, "a"), record(1, "b")]);
+    near.replace_servers(millis(0), &[record(0, "a"), record(1, "b")]);
     assert!(near.reports_too_sparse(millis(1), &service, &ANY_REGION));
     near.report(millis(1), &here(0, "a"), &frequent);
     near.report(millis(1), &here(1, "b"), &infrequent);
@@ -478,7 +478,7 @@
     near.report(millis(3), &here(0, "a"), &infrequent);
     assert!(near.reports_too_sparse(millis(4), &service, &ANY_REGION));
     let mut far = fleet("c");
-    far.set_all(millis(0), &[record(0, "a")]);
+    far.replace_servers(millis(0), &[record(0, "a")]);
     far.report(millis(1), &here(0, "a"), &frequent);
     assert!(!far.reports_too_sparse(millis(2), &service, &ANY_REGION));
 }
@@ -488,7 +488,7 @@
 #[test]
 fn a_reused_address_maps_to_the_listed_server() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a")]);
+    fleet.replace_servers(millis(0), &[record(0, "a")]);
     send(&mut fleet, millis(1)).unwrap();
     let previous = fleet.key_at(address(0)).unwrap();
     fleet.change(millis(2), &ServerChange::Gone(Name::new("i-0")));
@@ -514,26 +514,26 @@
 #[test]
 fn a_restricted_request_goes_only_to_allowed_regions() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a"), record(1, "b"), record(2, "c")]);
+    fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "b"), record(2, "c")]);
     fleet.report(millis(1), &here(1, "b"), &report(33_000, 20));
     let service = Name::new("llm");
     let regions = only(&["region-b", "region-nowhere"]);
-    let need = Need {
+    let request = PlacementRequest {
         regions: &regions,
-        ..need(&service, &[])
+        ..request(&service, &[])
     };
-    let key = fleet.choose(millis(2), &need, &spec()).unwrap();
+    let key = fleet.choose(millis(2), &request, &spec()).unwrap();
     assert_eq!(fleet.record(key).unwrap().id, Name::new("i-1"));
-    let left_out = fleet.left_out_near(millis(2), &need, &spec());
+    let left_out = fleet.exclusions_in_own_region(millis(2), &request, &spec());
     assert_eq!((left_out.region, left_out.evacuated), (1, 0));
-    let options = fleet.options(millis(2), &need, &spec());
+    let options = fleet.options(millis(2), &request, &spec());
     assert_eq!(options.len(), 1, "no other server is asked for its load");
     let no_regions = only(&[]);
-    let need = Need {
+    let request = PlacementRequest {
         regions: &no_regions,
-        ..need
+        ..request
     };
-    let chosen = fleet.choose(millis(2), &need, &spec());
+    let chosen = fleet.choose(millis(2), &request, &spec());
     assert_eq!(chosen, Err(NoServer::Excluded(Exclusion::Region)));
 }
 
@@ -546,7 +546,7 @@
         revision: Revision::new(0, revision),
     };
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a"), record(1, "b")]);
+    fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "b")]);
     assert_eq!(send(&mut fleet, millis(1)), Ok("i-0".into()));
     let change = fleet.set_evacuated(millis(2), &evacuated(5, &["a"]));
     assert_eq!(change.begun, [Name::new("a")]);
@@ -568,16 +568,19 @@
 #[test]
 fn a_moved_run_goes_only_where_new_requests_may_go() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a"), record(1, "b")]);
+    fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "b")]);
     let key = |fleet: &Fleet, number| fleet.key_at(address(number)).unwrap();
     let (one, two) = (key(&fleet, 0), key(&fleet, 1));
-    assert!(fleet.may_get(one, &only(&["region-a"])) && !fleet.may_get(two, &only(&["region-a"])));
+    assert!(
+        fleet.is_permitted_at(one, &only(&["region-a"]))
+            && !fleet.is_permitted_at(two, &only(&["region-a"]))
+    );
     let evacuated = EvacuatedZones {
         zones: [Name::new("a")].into(),
         revision: Revision::new(0, 3),
     };
     fleet.set_evacuated(millis(1), &evacuated);
-    assert!(!fleet.may_get(one, &ANY_REGION) && fleet.may_get(two, &ANY_REGION));
+    assert!(!fleet.is_permitted_at(one, &ANY_REGION) && fleet.is_permitted_at(two, &ANY_REGION));
 }
 
 /// Guards against requests to a server that has left, after the directory was rolled back to a copy that
@@ -585,12 +588,12 @@
 #[test]
 fn a_server_that_has_left_is_not_taken_back_from_an_older_copy() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a"), record(1, "b")]);
+    fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "b")]);
     fleet.change(millis(100), &ServerChange::Gone(Name::new("i-0")));
-    fleet.directory_returned(millis(500));
+    fleet.directory_rolled_back(millis(500));
     fleet.add_all(millis(510), &[record(0, "a")]);
     assert_eq!(send(&mut fleet, millis(520)), Ok("i-1".into()));
-    fleet.set_all(millis(3_000), &[record(0, "a"), record(1, "b")]);
+    fleet.replace_servers(millis(3_000), &[record(0, "a"), record(1, "b")]);
     assert_eq!(send(&mut fleet, millis(3_010)), Ok("i-1".into()));
     let other = ServerRecord {
         born: 7,
@@ -608,9 +611,9 @@
 #[test]
 fn a_server_that_writes_its_entry_again_is_used() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a"), record(1, "b")]);
+    fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "b")]);
     fleet.change(millis(100), &ServerChange::Gone(Name::new("i-0")));
-    fleet.directory_returned(millis(500));
+    fleet.directory_rolled_back(millis(500));
     fleet.add_all(millis(510), &[record(0, "a")]);
     fleet.change(millis(900), &ServerChange::Put(record(0, "a")));
     assert_eq!(send(&mut fleet, millis(910)), Ok("i-0".into()));
@@ -621,13 +624,13 @@
 #[test]
 fn a_leaving_server_keeps_leaving_after_a_directory_rollback() {
     let mut fleet = fleet("a");
-    fleet.set_all(millis(0), &[record(0, "a"), record(1, "b")]);
+    fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "b")]);
     let leaving = ServerRecord {
         phase: ServerPhase::Draining,
         ..record(0, "a")
     };
     fleet.change(millis(100), &ServerChange::Put(leaving));
-    fleet.directory_returned(millis(500));
+    fleet.directory_rolled_back(millis(500));
     fleet.add_all(millis(510), &[record(0, "a"), record(1, "b")]);
     assert_eq!(send(&mut fleet, millis(520)), Ok("i-1".into()));
     let phases: Vec<ServerPhase> = fleet.servers().map(|record| record.phase).collect();
--- a/lib/tests/placement_rules.rs
+++ b/lib/tests/placement_rules.rs
@@ -9,8 +9,8 @@
 
 use cicada_lib::cold_start::ColdStart;
 use cicada_lib::fleet::Fleet;
-use cicada_lib::fleet::Need;
 use cicada_lib::fleet::Place;
+use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::residency::AllowedRegions;
 use cicada_lib::revision::Revision;
@@ -166,7 +166,7 @@
             zone: zone(number % ZONES),
             regions: zones.collect(),
         });
-        fleet.set_all(self.time(), &self.records);
+        fleet.replace_servers(self.time(), &self.records);
         fleet.set_evacuated(self.time(), &self.evacuated_now());
         fleet.set_entries(entry_address(number), (0..ENTRIES).map(entry_address));
         Entry {
@@ -259,20 +259,20 @@
     }
 
     /// Sends a request through a random entry; `Err` describes the rule that its placement violates.
-    fn request(&mut self) -> Result<(), String> {
+    fn send_request(&mut self) -> Result<(), String> {
         let number = self.rng.usize(..ENTRIES);
         let (now, at) = (self.now, self.time());
         let entry = &mut self.entries[number];
         let service = Name::new("llm");
         let allowed = regions(entry.allowed);
-        let need = Need {
+        let request = PlacementRequest {
             regions: &allowed,
-            ..Need::new(&service, 500, 800)
+            ..PlacementRequest::new(&service, 500, 800)
         };
-        let Ok(key) = entry.fleet.choose(at, &need, &spec()) else {
+        let Ok(key) = entry.fleet.choose(at, &request, &spec()) else {
             return Ok(());
         };
-        entry.fleet.started(at, key, &need);
+        entry.fleet.started(at, key, &request);
         let record = entry.fleet.record(key).expect("chosen").clone();
         let must_know = |since: u64| now > since + GOSSIP_STEPS * STEP;
         if let Some(since) = self.evacuated_since.get(&record.zone)
@@ -316,7 +316,7 @@
         world.apply(*event);
         world.gossip();
         for _ in 0..30 {
-            world.request()?;
+            world.send_request()?;
         }
     }
     Ok(())
--- a/lib/tests/relays/mod.rs
+++ b/lib/tests/relays/mod.rs
@@ -13,8 +13,8 @@
 use cicada_lib::dialect::EngineRun;
 use cicada_lib::engine_load_tracker::EngineLoadTracker;
 use cicada_lib::fleet::Fleet;
-use cicada_lib::fleet::Need;
 use cicada_lib::fleet::Place;
+use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::EngineHere;
 use cicada_lib::peer_words::EngineLoad;
@@ -176,7 +176,7 @@
         regions: regions.collect(),
     });
     let records: Vec<ServerRecord> = (0..ENGINES).map(record).collect();
-    fleet.set_all(Time::ZERO, &records);
+    fleet.replace_servers(Time::ZERO, &records);
     fleet
 }
 
@@ -300,13 +300,13 @@
         let service = Name::new("llm");
         self.sent += 1;
         let id = Name::new(format!("r-{}", self.sent));
-        let need = Need::new(&service, prompt, prompt + 300);
+        let need = PlacementRequest::new(&service, prompt, prompt + 300);
         let now = self.time();
         let among = match self.choice {
             Choice::Reports => None,
             Choice::Asking => self.ask(relay, &id, &need),
         };
-        let need = Need {
+        let need = PlacementRequest {
             among: among.as_deref(),
             ..need
         };
@@ -342,7 +342,12 @@
     }
 
     /// Asks the scouts that the relay draws; `None` where the reports are fresh enough.
-    fn ask(&mut self, relay: usize, id: &Name, need: &Need<'_>) -> Option<Vec<ServerKey>> {
+    fn ask(
+        &mut self,
+        relay: usize,
+        id: &Name,
+        need: &PlacementRequest<'_>,
+    ) -> Option<Vec<ServerKey>> {
         let now = self.time();
         if !self.relays[relay].reports_too_sparse(now, need.service, need.regions) {
             return None;
--- a/lib/tests/round_trips.rs
+++ b/lib/tests/round_trips.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use cicada_lib::fleet::Fleet;
-use cicada_lib::fleet::Need;
 use cicada_lib::fleet::Place;
+use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::placement::Locality;
 use cicada_lib::round_trips::RoundTrips;
@@ -62,14 +62,14 @@
     });
     let near = site::server("near", address(0), "a", 6);
     let far = site::server("far", address(1), "b", 6);
-    fleet.set_all(millis(0), &[near, far]);
+    fleet.replace_servers(millis(0), &[near, far]);
     fleet
 }
 
 /// Number of concurrent calls that are sent to the local server before one goes to the other region.
 fn local_calls(fleet: &mut Fleet) -> usize {
     let service = Name::new("llm");
-    let need = Need::new(&service, 0, 0);
+    let need = PlacementRequest::new(&service, 0, 0);
     let near = fleet.key_at(address(0)).expect("listed");
     let mut count = 0;
     while count < 100 && fleet.choose(millis(10), &need, &spec()) == Ok(near) {
--- a/lib/tests/server_limit.rs
+++ b/lib/tests/server_limit.rs
@@ -6,13 +6,13 @@
 
 use cicada_lib::fleet::Exclusion;
 use cicada_lib::fleet::Fleet;
-use cicada_lib::fleet::Need;
 use cicada_lib::fleet::NoServer;
 use cicada_lib::fleet::Place;
+use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::server_limit::LimitChange;
+use cicada_lib::server_limit::LimitReport;
 use cicada_lib::server_limit::LimitState;
-use cicada_lib::server_limit::LimitWord;
 use cicada_lib::server_limit::RequestRate;
 use cicada_lib::site::ServiceSpec;
 use cicada_lib::time::Time;
@@ -103,7 +103,7 @@
         regions: HashMap::new(),
     });
     let address = SocketAddr::from(([10, 1, 0, 1], 8_701));
-    fleet.set_all(Time::ZERO, &[site::server("i-1", address, "a", 6)]);
+    fleet.replace_servers(Time::ZERO, &[site::server("i-1", address, "a", 6)]);
     fleet.set_entries(entry(number), (0..entries).map(entry));
     fleet
 }
@@ -153,16 +153,16 @@
         }
     }
 
-    fn request(&mut self, now: u64) {
+    fn send_request(&mut self, now: u64) {
         let by = self.rng.usize(..self.entries.len());
         let (service, spec) = (Name::new("llm"), plain());
-        let need = Need::new(&service, 0, 0);
+        let request = PlacementRequest::new(&service, 0, 0);
         let entry = &mut self.entries[by];
-        let Ok(key) = entry.fleet.choose(at(now), &need, &spec) else {
+        let Ok(key) = entry.fleet.choose(at(now), &request, &spec) else {
             self.refused.push(now);
             return;
         };
-        entry.fleet.started(at(now), key, &need);
+        entry.fleet.started(at(now), key, &request);
         let arrival = now + self.rng.u64(1..MAX_DELAY);
         self.arrivals.push(arrival);
         let limited = (LIMIT_START..LIMIT_END).contains(&arrival);
@@ -198,7 +198,7 @@
             entry.fleet.ended(key, 0);
             entry
                 .fleet
-                .told_limit(at(now), key, at(sent.at), sent.limit);
+                .record_limit(at(now), key, at(sent.at), sent.limit);
             if sent.limit.is_some() {
                 entry.limited_since.get_or_insert(now);
             }
@@ -206,11 +206,13 @@
     }
 
     fn gossip(&mut self, now: u64, from: usize) {
-        let reports: Vec<LimitWord> = self.entries[from].fleet.limit_words(at(now));
+        let reports: Vec<LimitReport> = self.entries[from].fleet.limit_reports(at(now));
         for _ in 0..FANOUT {
             let to = self.rng.usize(..self.entries.len());
             if to != from {
-                self.entries[to].fleet.hear_limits(at(now), &reports);
+                self.entries[to]
+                    .fleet
+                    .apply_limit_reports(at(now), &reports);
             }
         }
     }
@@ -247,7 +249,7 @@
             };
             while due >= SECOND {
                 due -= SECOND;
-                self.request(now);
+                self.send_request(now);
             }
         }
         self
@@ -331,22 +333,22 @@
         regions: HashMap::new(),
     });
     let address = SocketAddr::from(([10, 1, 0, 1], 8_701));
-    fleet.set_all(Time::ZERO, &[site::server("i-1", address, "a", 6)]);
-    let word = LimitWord {
+    fleet.replace_servers(Time::ZERO, &[site::server("i-1", address, "a", 6)]);
+    let word = LimitReport {
         server: Name::new("i-1"),
         limit: Some(rate(10.0)),
         age: 0,
     };
-    fleet.hear_limits(at(10), &[word]);
+    fleet.apply_limit_reports(at(10), &[word]);
     let (service, spec) = (Name::new("llm"), plain());
-    let need = Need::new(&service, 0, 0);
+    let request = PlacementRequest::new(&service, 0, 0);
     let limited = Err(NoServer::Excluded(Exclusion::Limited));
     for second in 1..30 {
-        assert_eq!(fleet.choose(at(second * SECOND), &need, &spec), limited);
+        assert_eq!(fleet.choose(at(second * SECOND), &request, &spec), limited);
     }
-    assert_eq!(fleet.until_unlimited(at(SECOND), &need, &spec), None);
+    assert_eq!(fleet.shortest_limit_wait(at(SECOND), &request, &spec), None);
     fleet.set_entries(entry(0), [entry(1)]);
-    assert!(fleet.choose(at(30 * SECOND), &need, &spec).is_ok());
+    assert!(fleet.choose(at(30 * SECOND), &request, &spec).is_ok());
 }
 
 /// Guards against a share that is exceeded permanently by requests sent regardless of the limit, such as
@@ -354,20 +356,20 @@
 #[test]
 fn requests_beyond_the_share_are_deducted() {
     let mut fleet = fleet(0, 2);
-    let word = LimitWord {
+    let word = LimitReport {
         server: Name::new("i-1"),
         limit: Some(rate(2.0)),
         age: 0,
     };
-    fleet.hear_limits(at(0), &[word]);
+    fleet.apply_limit_reports(at(0), &[word]);
     let (service, spec) = (Name::new("llm"), plain());
-    let need = Need::new(&service, 0, 0);
+    let request = PlacementRequest::new(&service, 0, 0);
     let key = fleet
-        .choose(at(2 * SECOND), &need, &spec)
+        .choose(at(2 * SECOND), &request, &spec)
         .expect("its share");
-    (0..4).for_each(|_| fleet.started(at(2 * SECOND), key, &need));
-    assert!(fleet.choose(at(5 * SECOND), &need, &spec).is_err());
-    let wait = fleet.until_unlimited(at(5 * SECOND), &need, &spec);
+    (0..4).for_each(|_| fleet.started(at(2 * SECOND), key, &request));
+    assert!(fleet.choose(at(5 * SECOND), &request, &spec).is_err());
+    let wait = fleet.shortest_limit_wait(at(5 * SECOND), &request, &spec);
     assert_eq!(wait, Some(Duration::from_secs(1)));
-    assert!(fleet.choose(at(6 * SECOND), &need, &spec).is_ok());
+    assert!(fleet.choose(at(6 * SECOND), &request, &spec).is_ok());
 }
--- a/lib/tests/stream_admission.rs
+++ b/lib/tests/stream_admission.rs
@@ -4,7 +4,7 @@
 
 use burst::BurstOutcome;
 use burst::KINDS;
-use cicada_lib::fleet::Outlook;
+use cicada_lib::fleet::ExpectedLoad;
 use cicada_lib::ids::Name;
 use cicada_lib::stream_admission;
 use cicada_lib::stream_admission::AdmissionRequest;
@@ -26,8 +26,8 @@
     }
 }
 
-fn outlook(memory: f64, before: u64, own: u64) -> Outlook {
-    Outlook {
+fn expected_load(memory: f64, before: u64, own: u64) -> ExpectedLoad {
+    ExpectedLoad {
         memory,
         before: Duration::from_millis(before),
         own: Duration::from_millis(own),
@@ -133,22 +133,22 @@
 #[test]
 fn a_rejection_names_the_scarce_resource() {
     assert_eq!(
-        stream_admission::check(&request(0, 0), &outlook(0.9, 0, 400)),
+        stream_admission::check(&request(0, 0), &expected_load(0.9, 0, 400)),
         Ok(())
     );
-    let full = stream_admission::check(&request(0, 0), &outlook(1.1, 0, 400));
+    let full = stream_admission::check(&request(0, 0), &expected_load(1.1, 0, 400));
     assert_eq!(full, Err(Bottleneck::Memory));
-    let late = stream_admission::check(&request(0, 0), &outlook(0.5, 1_500, 400));
+    let late = stream_admission::check(&request(0, 0), &expected_load(0.5, 1_500, 400));
     assert_eq!(late, Err(Bottleneck::Prefill));
-    let most = Outlook {
+    let most = ExpectedLoad {
         running: 64,
-        ..outlook(0.5, 0, 400)
+        ..expected_load(0.5, 0, 400)
     };
     assert_eq!(
         stream_admission::check(&request(0, 0), &most),
         Err(Bottleneck::Slots)
     );
-    let nearly = outlook(0.92, 0, 400);
+    let nearly = expected_load(0.92, 0, 400);
     assert_eq!(stream_admission::check(&request(0, 0), &nearly), Ok(()));
     assert_eq!(
         stream_admission::check(&request(1, 0), &nearly),
@@ -161,12 +161,12 @@
 #[test]
 fn an_idle_engine_admits_large_requests() {
     assert_eq!(
-        stream_admission::check(&request(1, 0), &outlook(0.2, 0, 1_700)),
+        stream_admission::check(&request(1, 0), &expected_load(0.2, 0, 1_700)),
         Ok(())
     );
-    let alone = Outlook {
+    let alone = ExpectedLoad {
         running: 0,
-        ..outlook(0.99, 0, 1_700)
+        ..expected_load(0.99, 0, 1_700)
     };
     assert_eq!(stream_admission::check(&request(1, 0), &alone), Ok(()));
 }
@@ -175,13 +175,13 @@
 /// last.
 #[test]
 fn a_retry_in_time_takes_precedence() {
-    let nearly = outlook(0.9, 100, 400);
+    let nearly = expected_load(0.9, 100, 400);
     assert_eq!(
         stream_admission::check(&request(1, 0), &nearly),
         Err(Bottleneck::Memory)
     );
     assert_eq!(stream_admission::check(&request(1, 800), &nearly), Ok(()));
-    let half = outlook(0.8, 0, 400);
+    let half = expected_load(0.8, 0, 400);
     assert_eq!(stream_admission::check(&request(1, 0), &half), Ok(()));
     assert_eq!(
         stream_admission::check(&request(1, 5_000), &half),
--- a/relay/src/attempts.rs
+++ b/relay/src/attempts.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use cicada_lib::fleet::Exclusion;
-use cicada_lib::fleet::Need;
 use cicada_lib::fleet::NoServer;
+use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::retry_after::RejectionCause;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::stream_admission::AdmissionError;
@@ -112,10 +112,10 @@
         let others: Vec<ServerKey> = self.tried.iter().chain(&self.failed).copied().collect();
         let regions = relay.table().regions_now(&call.admitted);
         let prompt = u64::from(call.head.prompt);
-        let need = |tried| Need {
+        let need = |tried| PlacementRequest {
             tried,
             regions: &regions,
-            ..Need::new(&call.service, prompt, tokens)
+            ..PlacementRequest::new(&call.service, prompt, tokens)
         };
         let id = call.head.id.as_ref();
         let placed = match choice::place(relay, id, &need(&others), &call.spec, asking).await {
@@ -126,7 +126,7 @@
         };
         if let Err(AdmissionError::NoServer(why)) = &placed {
             self.lacking = Some(*why);
-            self.unlimited = relay.until_unlimited(&need(&self.tried), &call.spec);
+            self.unlimited = relay.shortest_limit_wait(&need(&self.tried), &call.spec);
         }
         let placed = placed?;
         if tokens > 0 {
--- a/relay/src/choice.rs
+++ b/relay/src/choice.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cicada_lib::fleet::Need;
+use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::LoadAsk;
 use cicada_lib::placement;
@@ -23,7 +23,7 @@
 pub(crate) async fn place(
     relay: &Arc<Relay>,
     id: Option<&Name>,
-    need: &Need<'_>,
+    need: &PlacementRequest<'_>,
     spec: &ServiceSpec,
     asking: Option<&AdmissionRequest>,
 ) -> Result<Placed, AdmissionError> {
@@ -33,7 +33,7 @@
     let mut tried = need.tried.to_vec();
     let mut turned = None;
     for round in [ProbeRound::First, ProbeRound::Second] {
-        let next = Need {
+        let next = PlacementRequest {
             tried: &tried,
             ..need.clone()
         };
@@ -43,7 +43,7 @@
             true => &asked,
             false => &answered,
         };
-        let next = Need {
+        let next = PlacementRequest {
             among: Some(among),
             tried: need.tried,
             ..need.clone()
@@ -66,7 +66,7 @@
 }
 
 /// Whether scouts are asked before a request is placed.
-fn probes_for(relay: &Relay, need: &Need<'_>) -> bool {
+fn probes_for(relay: &Relay, need: &PlacementRequest<'_>) -> bool {
     let may = relay.policy().ask && need.prompt > 0;
     let fleet = relay.fleet();
     may && fleet.reports_too_sparse(relay.now(), need.service, need.regions)
@@ -75,7 +75,7 @@
 /// The servers whose scouts are asked.
 fn targets(
     relay: &Relay,
-    need: &Need<'_>,
+    need: &PlacementRequest<'_>,
     spec: &ServiceSpec,
     round: ProbeRound,
 ) -> Vec<ServerKey> {
@@ -84,7 +84,12 @@
 }
 
 /// Asks the scouts of the servers what a request would meet; the servers whose scouts have answered.
-async fn ask(relay: &Relay, id: &Name, need: &Need<'_>, servers: &[ServerKey]) -> Vec<ServerKey> {
+async fn ask(
+    relay: &Relay,
+    id: &Name,
+    need: &PlacementRequest<'_>,
+    servers: &[ServerKey],
+) -> Vec<ServerKey> {
     let (asks, trip) = questions(relay, id, need, servers);
     let answered = relay.asks().ask(asks, trip).await;
     relay.figures().asked(servers.len(), answered.len());
@@ -97,7 +102,7 @@
 fn questions(
     relay: &Relay,
     id: &Name,
-    need: &Need<'_>,
+    need: &PlacementRequest<'_>,
     servers: &[ServerKey],
 ) -> (Vec<LoadAsk>, Duration) {
     let now = relay.now();
--- a/relay/src/peer_net.rs
+++ b/relay/src/peer_net.rs
@@ -116,7 +116,7 @@
 
     async fn subscribe(&self) {
         let now = self.relay.now();
-        self.relay.fleet().trim_announced(now);
+        self.relay.fleet().remove_silent_engines(now);
         let groups = self.relay.engine_groups();
         let all = groups.iter().map(|group| group.engines.len()).sum();
         for group in groups {
@@ -134,7 +134,7 @@
         let mut engines = group.engines.clone();
         if !group.near && all > FOLLOWED {
             let fleet = self.relay.fleet();
-            engines.retain(|engine| fleet.runs_at(*engine));
+            engines.retain(|engine| fleet.has_open_requests_at(*engine));
         }
         engines
     }
@@ -148,7 +148,12 @@
     /// Asks for the reports of engines that have just come. Until the next renewal they would count as
     /// empty, and after all hosts have started again as the former lives that the list names.
     async fn subscribe_new(&self) {
-        let joined: HashSet<SocketAddr> = self.relay.fleet().take_joined().into_iter().collect();
+        let joined: HashSet<SocketAddr> = self
+            .relay
+            .fleet()
+            .take_added_addresses()
+            .into_iter()
+            .collect();
         if joined.is_empty() {
             return;
         }
@@ -188,7 +193,7 @@
             revision: self.relay.revision(),
             others: self.relay.peers().some(PASSED_ON),
             evacuated: self.relay.evacuated(),
-            limits: self.relay.limit_words(),
+            limits: self.relay.limit_reports(),
         });
         if self.relay.is_fed() {
             self.tell_region(&word).await;
@@ -314,7 +319,7 @@
                 peers.learn(self.relay.settings().peer, hello.others);
                 drop(peers);
                 self.relay.set_evacuated(&hello.evacuated);
-                self.relay.hear_limits(from, &hello.limits);
+                self.relay.apply_limit_reports(from, &hello.limits);
                 self.relay.note_told(hello.version, hello.revision);
             }
             Ok(_) => {}
--- a/relay/src/placed.rs
+++ b/relay/src/placed.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cicada_lib::fleet::LeftOut;
-use cicada_lib::fleet::Need;
+use cicada_lib::fleet::ExclusionCounts;
+use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::SentWord;
 use cicada_lib::routing::ServerKey;
@@ -24,7 +24,7 @@
     // How long the server was to read at the choice, this request's prompt among it.
     pub(crate) reading: Duration,
     // Servers of this region that were left out, where the chosen one stands in another region.
-    pub(crate) left_out: Option<LeftOut>,
+    pub(crate) left_out: Option<ExclusionCounts>,
     // The limit that the chosen server names, in requests a second.
     pub(crate) limit: Option<f64>,
     // Scouts that were asked, and that answered.
@@ -49,7 +49,7 @@
         relay: &Arc<Relay>,
         key: ServerKey,
         record: ServerRecord,
-        need: &Need<'_>,
+        need: &PlacementRequest<'_>,
     ) -> Self {
         Placed {
             relay: relay.clone(),
@@ -133,10 +133,10 @@
     }
 
     /// Another server than the expected one is at the address.
-    pub(crate) fn is_other(&self, other: &Name) {
+    pub(crate) fn record_mismatch(&self, other: &Name) {
         let now = self.relay.now();
         tracing::info!(server = %self.record.id, %other, address = %self.record.address, "fleet: another server is at the address");
-        self.relay.fleet().is_other(now, self.key, other);
+        self.relay.fleet().record_mismatch(now, self.key, other);
     }
 
     /// The round trip to the server.
@@ -154,14 +154,14 @@
     }
 
     /// An answer to a request that was sent at `sent` names the server's limit, or none.
-    pub(crate) fn told_limit(&self, sent: Time, limit: Option<RequestRate>) {
+    pub(crate) fn record_limit(&self, sent: Time, limit: Option<RequestRate>) {
         let server = (self.key, &self.record.id);
-        self.relay.told_limit(server, sent, limit);
+        self.relay.record_limit(server, sent, limit);
     }
 
-    pub(crate) fn told_load(&self, load: Option<(u32, u32)>) {
+    pub(crate) fn record_queue(&self, load: Option<(u32, u32)>) {
         if let Some((running, waiting)) = load {
-            self.relay.fleet().told_load(self.key, running, waiting);
+            self.relay.fleet().record_queue(self.key, running, waiting);
         }
     }
 }
--- a/relay/src/relay.rs
+++ b/relay/src/relay.rs
@@ -254,8 +254,8 @@
         Restrictions {
             evacuated: fleet.evacuated().zones.iter().cloned().collect(),
             restricted,
-            cold: fleet.cold_count(self.now(), table.services()),
-            limited: fleet.limited_count(),
+            cold: fleet.cold_server_count(self.now(), table.services()),
+            limited: fleet.limited_server_count(),
         }
     }
 
--- a/relay/src/relay_limits.rs
+++ b/relay/src/relay_limits.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cicada_lib::fleet::Need;
+use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::server_limit::LimitChange;
-use cicada_lib::server_limit::LimitWord;
+use cicada_lib::server_limit::LimitReport;
 use cicada_lib::server_limit::RequestRate;
 use cicada_lib::site::ServiceSpec;
 use cicada_lib::time::Time;
@@ -16,13 +16,13 @@
 
 impl Relay {
     /// A server's answer to a request that was sent at `sent` names its limit, or none.
-    pub(crate) fn told_limit(
+    pub(crate) fn record_limit(
         &self,
         (key, server): (ServerKey, &Name),
         sent: Time,
         limit: Option<RequestRate>,
     ) {
-        let change = self.fleet().told_limit(self.now(), key, sent, limit);
+        let change = self.fleet().record_limit(self.now(), key, sent, limit);
         let Some(change) = change else {
             return;
         };
@@ -34,25 +34,29 @@
     }
 
     /// What other relays are told of servers' limits.
-    pub(crate) fn limit_words(&self) -> Vec<LimitWord> {
-        self.fleet().limit_words(self.now())
+    pub(crate) fn limit_reports(&self) -> Vec<LimitReport> {
+        self.fleet().limit_reports(self.now())
     }
 
     /// Another relay tells of servers' limits.
-    pub(crate) fn hear_limits(&self, from: SocketAddr, words: &[LimitWord]) {
-        let changes = self.fleet().hear_limits(self.now(), words);
+    pub(crate) fn apply_limit_reports(&self, from: SocketAddr, words: &[LimitReport]) {
+        let changes = self.fleet().apply_limit_reports(self.now(), words);
         for (server, change) in changes {
             self.note_limit(&server, change, Some(from));
         }
     }
 
     /// How long until this relay may send the request to a server that only its limit keeps it from.
-    pub(crate) fn until_unlimited(&self, need: &Need<'_>, spec: &ServiceSpec) -> Option<Duration> {
-        self.fleet().until_unlimited(self.now(), need, spec)
+    pub(crate) fn shortest_limit_wait(
+        &self,
+        need: &PlacementRequest<'_>,
+        spec: &ServiceSpec,
+    ) -> Option<Duration> {
+        self.fleet().shortest_limit_wait(self.now(), need, spec)
     }
 
     fn note_limit(&self, server: &Name, change: LimitChange, from: Option<SocketAddr>) {
-        self.figures().limited(self.fleet().limited_count());
+        self.figures().limited(self.fleet().limited_server_count());
         let from = from.map(tracing::field::display);
         match change {
             LimitChange::Named(rate) | LimitChange::Changed(rate) => {
--- a/relay/src/relay_places.rs
+++ b/relay/src/relay_places.rs
@@ -5,8 +5,8 @@
 use std::sync::MutexGuard;
 use std::time::Duration;
 
-use cicada_lib::fleet::Need;
 use cicada_lib::fleet::NoServer;
+use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::EngineHere;
 use cicada_lib::peer_words::RunEnded;
@@ -31,7 +31,7 @@
     /// goes only to an engine that is not too crowded.
     pub(crate) fn place(
         self: &Arc<Self>,
-        need: &Need<'_>,
+        need: &PlacementRequest<'_>,
         spec: &ServiceSpec,
         asking: Option<&AdmissionRequest>,
     ) -> Result<Placed, AdmissionError> {
@@ -50,7 +50,8 @@
             used,
             age: age.map(|age| age.as_millis() as u64),
             limit: fleet.limit(key).map(RequestRate::per_second),
-            left_out: (!fleet.is_near(key)).then(|| fleet.left_out_near(now, need, spec)),
+            left_out: (!fleet.is_near(key))
+                .then(|| fleet.exclusions_in_own_region(now, need, spec)),
             ..Basis::default()
         };
         if let Some(asking) = asking {
@@ -130,12 +131,12 @@
     pub(crate) fn place_moved(
         self: &Arc<Self>,
         engine: &EngineHere,
-        need: &Need<'_>,
+        need: &PlacementRequest<'_>,
     ) -> Option<Placed> {
         let now = self.now();
         let mut fleet = self.fleet();
         let key = fleet.adopted(now, engine)?;
-        if !fleet.may_get(key, need.regions) {
+        if !fleet.is_permitted_at(key, need.regions) {
             return None;
         }
         let record = fleet.record(key).cloned()?;
@@ -176,6 +177,6 @@
     pub(crate) fn sent_elsewhere(&self, word: &SentWord) {
         let now = self.now();
         let mut fleet = self.fleet();
-        fleet.started_elsewhere(now, word.engine, word.prompt, word.tokens);
+        fleet.record_sent_elsewhere(now, word.engine, word.prompt, word.tokens);
     }
 }
--- a/relay/src/relay_view.rs
+++ b/relay/src/relay_view.rs
@@ -67,7 +67,7 @@
     /// Takes the whole list of backend servers.
     pub fn set_servers(&self, listing: &ServerListing) {
         self.saw(listing.revision);
-        self.fleet().set_all(self.now(), &listing.servers);
+        self.fleet().replace_servers(self.now(), &listing.servers);
         lock(&self.changes).clear();
         self.listed_at(listing.revision);
     }
@@ -152,7 +152,7 @@
             went_back
         });
         if went_back {
-            self.fleet().directory_returned(now);
+            self.fleet().directory_rolled_back(now);
             tracing::info!(%revision, known = %self.revision(), "directory: it has gone back to an older copy");
         }
     }
@@ -303,7 +303,7 @@
                 health: spec.health_path.clone(),
                 cold: spec.cold.period,
                 limited: fleet
-                    .limited_at(&server.service)
+                    .limited_addresses(&server.service)
                     .take(MOST_LIMITED)
                     .collect(),
             });
--- a/relay/src/run_moves.rs
+++ b/relay/src/run_moves.rs
@@ -7,7 +7,7 @@
 use cicada_lib::dialect::MoveError;
 use cicada_lib::dialect::MoveStep;
 use cicada_lib::dialect::RunMemory;
-use cicada_lib::fleet::Need;
+use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::EngineHere;
 use cicada_lib::peer_words::MovedRun;
@@ -57,7 +57,7 @@
         }
         // The scout sees all runs of the engine and moves them one after the other.
         let now = self.relay.now();
-        let scout = self.relay.fleet().has_scout(now, self.placed.key);
+        let scout = self.relay.fleet().has_live_scout(now, self.placed.key);
         // One that came back has been moved, for all that its scout knows.
         if scout && self.refusing.is_none() {
             return;
@@ -74,11 +74,11 @@
                 let tried: Vec<ServerKey> =
                     [self.placed.key].into_iter().chain(self.refusing).collect();
                 let regions = self.relay.table().regions_now(&self.call.admitted);
-                let need = Need {
+                let need = PlacementRequest {
                     tried: &tried,
                     zone: Some(&zone),
                     regions: &regions,
-                    ..Need::new(&self.call.service, 0, self.tokens)
+                    ..PlacementRequest::new(&self.call.service, 0, self.tokens)
                 };
                 let Ok(target) = self.relay.place(&need, &self.call.spec, None) else {
                     return;
@@ -183,7 +183,7 @@
         let before = self.latest;
         let key = self.placed.key;
         let regions = self.relay.table().regions_now(&self.call.admitted);
-        if !self.relay.fleet().may_get(key, &regions) {
+        if !self.relay.fleet().is_permitted_at(key, &regions) {
             tracing::info!(
                 id = self.call.id(),
                 ?key,
@@ -253,9 +253,9 @@
         tracing::info!(id = self.call.id(), from = %engine, to = ?moved.target, "move: the run goes on elsewhere");
         let MovedRun { target, handle, .. } = moved;
         let regions = self.relay.table().regions_now(&self.call.admitted);
-        let need = Need {
+        let need = PlacementRequest {
             regions: &regions,
-            ..Need::new(&self.call.service, 0, self.tokens)
+            ..PlacementRequest::new(&self.call.service, 0, self.tokens)
         };
         let target = target.and_then(|address| {
             let engine = EngineHere {
--- a/relay/src/send.rs
+++ b/relay/src/send.rs
@@ -90,7 +90,7 @@
     };
     let (parts, body) = answer.response.into_parts();
     let head = relay.dialect().answer_head(parts.status, &parts.headers);
-    placed.told_load(head.load);
+    placed.record_queue(head.load);
     let plain = call.spec.engine.is_none();
     if let (true, true, Some((_, waiting))) = (plain, parts.status.is_success(), head.load) {
         placed.worked(sent.elapsed(), waiting);
@@ -99,11 +99,11 @@
         return Err(Unanswered::Unknown);
     }
     if let Some(other) = &head.other {
-        placed.is_other(other);
+        placed.record_mismatch(other);
         return Err(Unanswered::Elsewhere);
     }
     if head.limit.is_some() || head.signed {
-        placed.told_limit(sent_at, head.limit);
+        placed.record_limit(sent_at, head.limit);
     }
     if head.refused {
         return Err(Unanswered::Refused);
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -166,7 +166,7 @@
     relay
         .returns()
         .record(now, call.fingerprint(), asking.age, pause);
-    let (why, outlook) = (turned.bottleneck.name(), &turned.outlook);
+    let (why, expected_load) = (turned.bottleneck.name(), &turned.expected_load);
     let (_, age) = relay.fleet().load(relay.now(), turned.server);
     relay.figures().refusal(why);
     relay.figures().answer("not_run");
@@ -176,10 +176,10 @@
         before = asking.rank,
         waited = asking.age.as_millis() as u64,
         over = asking.over_share,
-        memory = percent(outlook.memory),
-        running = outlook.running,
-        reading = outlook.before.as_millis() as u64,
-        own = outlook.own.as_millis() as u64,
+        memory = percent(expected_load.memory),
+        running = expected_load.running,
+        reading = expected_load.before.as_millis() as u64,
+        own = expected_load.own.as_millis() as u64,
         age = age.map(|age| age.as_millis() as u64),
         pause = pause.as_millis() as u64,
         "stream: turned away"
