--- a/daemon/src/relay_role.rs
+++ b/daemon/src/relay_role.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use cicada_lib::daemon_settings::Settings;
-use cicada_lib::fleet::Place;
+use cicada_lib::fleet::Location;
 use cicada_lib::ids::Name;
 use cicada_lib::retry_window::RetryLimit;
 use cicada_platform::HttpEngines;
@@ -109,7 +109,7 @@
         name: settings.name("process", "name"),
         listen: address("listen")?,
         ready: address("ready")?,
-        place: Place {
+        place: Location {
             zone: settings.name("process", "zone"),
             regions: settings.pairs("relay", "zones").into_iter().collect(),
         },
--- a/lib/src/entry_shares.rs
+++ b/lib/src/entry_shares.rs
@@ -41,26 +41,26 @@
         Some(entries.others.len() + 1)
     }
 
-    /// Whether this entry is one of the `places` entries selected for the server by rendezvous
+    /// Whether this entry is one of the `count` entries selected for the server by rendezvous
     /// hashing.
-    pub fn is_selected(&self, server: SocketAddr, places: usize) -> bool {
+    pub fn is_selected(&self, server: SocketAddr, count: usize) -> bool {
         let Some(entries) = &self.entries else {
             return false;
         };
         let server = hash_address(server);
         let own = mix(entries.own ^ server);
-        let before = entries.others.iter();
-        let before = before.filter(|other| mix(**other ^ server) > own);
-        before.count() < places
+        let ahead = entries.others.iter();
+        let ahead = ahead.filter(|other| mix(**other ^ server) > own);
+        ahead.count() < count
     }
 
-    /// Whether this entry is sampled for the server in period `turn`. Each entry is sampled
+    /// Whether this entry is sampled for the server in this period. Each entry is sampled
     /// independently with the given probability.
-    pub fn is_sampled(&self, server: SocketAddr, turn: u64, probability: f64) -> bool {
+    pub fn is_sampled(&self, server: SocketAddr, period: u64, probability: f64) -> bool {
         let Some(entries) = &self.entries else {
             return false;
         };
-        let drawn = mix(entries.own ^ hash_address(server) ^ mix(turn));
-        (drawn as f64) < probability * u64::MAX as f64
+        let hash = mix(entries.own ^ hash_address(server) ^ mix(period));
+        (hash as f64) < probability * u64::MAX as f64
     }
 }
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -55,14 +55,14 @@
 
 /// The location of this entry.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Location {
     /// Its availability zone.
     pub zone: Name,
     /// The regions of all availability zones.
     pub regions: HashMap<Name, Name>,
 }
 
-impl Place {
+impl Location {
     /// The region of an availability zone. A zone whose region is unknown is a region of its own.
     pub fn region_of<'a>(&'a self, zone: &'a Name) -> &'a Name {
         self.regions.get(zone).unwrap_or(zone)
@@ -72,7 +72,7 @@
 /// The backend servers of all services.
 #[derive(Debug)]
 pub struct Fleet {
-    pub(crate) place: Place,
+    pub(crate) location: Location,
     pub(crate) servers: SlotMap<ServerKey, Server>,
     // Listed and announced servers only.
     pub(crate) ids: HashMap<Name, ServerKey>,
@@ -84,7 +84,7 @@
     // Whether a list was applied: servers that are added later may have started just now.
     initial_list_applied: bool,
     pub(crate) evacuated: EvacuatedZones,
-    pub(crate) entries: EntryShares,
+    pub(crate) entry_shares: EntryShares,
     pub(crate) round_trips: RoundTrips,
     // Mean work time for each plain service.
     pub(crate) service_times: HashMap<Name, ServiceTime>,
@@ -92,9 +92,9 @@
 
 impl Fleet {
     /// Creates a fleet without servers.
-    pub fn new(place: Place) -> Self {
+    pub fn new(location: Location) -> Self {
         Fleet {
-            place,
+            location,
             servers: SlotMap::with_key(),
             ids: HashMap::new(),
             addresses: HashMap::new(),
@@ -102,7 +102,7 @@
             joined: Vec::new(),
             initial_list_applied: false,
             evacuated: EvacuatedZones::default(),
-            entries: EntryShares::default(),
+            entry_shares: EntryShares::default(),
             round_trips: RoundTrips::default(),
             service_times: HashMap::new(),
         }
@@ -119,11 +119,11 @@
                 self.remove_listed(now, &id);
             }
         }
-        self.add_all(now, records);
+        self.merge_servers(now, records);
     }
 
     /// Applies an incomplete list. Servers that are not in it are kept.
-    pub fn add_all(&mut self, now: Time, records: &[ServerRecord]) {
+    pub fn merge_servers(&mut self, now: Time, records: &[ServerRecord]) {
         for record in records {
             if !self.incarnations.is_suppressed(now, record) {
                 self.upsert(now, record);
@@ -139,7 +139,7 @@
     }
 
     /// Applies a change of the list.
-    pub fn change(&mut self, now: Time, change: &ServerChange) {
+    pub fn apply_change(&mut self, now: Time, change: &ServerChange) {
         match change {
             ServerChange::Put(record) => {
                 self.incarnations.entry_written(now, &record.id);
@@ -167,13 +167,13 @@
     }
 
     /// Records the round trip of a probe to an availability zone.
-    pub fn probed(&mut self, now: Time, zone: &Name, took: Duration) {
+    pub fn record_round_trip(&mut self, now: Time, zone: &Name, took: Duration) {
         self.round_trips.record(now, zone, took);
     }
 
     /// Records how long a plain server took to answer a call. Only for calls that did not queue there:
     /// otherwise the time includes waiting.
-    pub fn worked(&mut self, now: Time, key: ServerKey, took: Duration) {
+    pub fn record_work_time(&mut self, now: Time, key: ServerKey, took: Duration) {
         let Some(server) = self.servers.get(key) else {
             return;
         };
@@ -201,12 +201,12 @@
 
     /// Sets the entries among which servers' limits are divided; this one has the address `own`.
     pub fn set_entries(&mut self, own: SocketAddr, others: impl IntoIterator<Item = SocketAddr>) {
-        self.entries.set_entries(own, others);
+        self.entry_shares.set_entries(own, others);
     }
 
     /// The known entries among which servers' limits are divided.
-    pub fn entries(&self) -> &EntryShares {
-        &self.entries
+    pub fn entry_shares(&self) -> &EntryShares {
+        &self.entry_shares
     }
 
     /// The listed and announced servers.
@@ -243,7 +243,7 @@
 
     /// The estimated memory use of a server in tokens, and the age of the report that it is based on;
     /// `None` if it is based on this entry's requests only.
-    pub fn load(&self, now: Time, key: ServerKey) -> (u64, Option<Duration>) {
+    pub fn memory_use(&self, now: Time, key: ServerKey) -> (u64, Option<Duration>) {
         let Some(server) = self.servers.get(key) else {
             return (0, None);
         };
@@ -254,7 +254,7 @@
     }
 
     /// The estimated time for prefill of the prompts already at the engine.
-    pub fn reading(&self, now: Time, key: ServerKey) -> Duration {
+    pub fn prefill_backlog(&self, now: Time, key: ServerKey) -> Duration {
         let server = self.servers.get(key);
         server.map_or(Duration::ZERO, |server| server.prefill_backlog(now))
     }
@@ -278,7 +278,7 @@
     }
 
     /// When this entry learnt that the server is leaving; `None` if it is not leaving.
-    pub fn leaving(&self, key: ServerKey) -> Option<Time> {
+    pub fn leaving_since(&self, key: ServerKey) -> Option<Time> {
         match self.servers.get(key) {
             Some(server) => server.leaving_since,
             None => Some(Time::ZERO),
@@ -286,7 +286,7 @@
     }
 
     /// Records a request sent to the server.
-    pub fn started(&mut self, now: Time, key: ServerKey, request: &PlacementRequest<'_>) {
+    pub fn record_sent(&mut self, now: Time, key: ServerKey, request: &PlacementRequest<'_>) {
         if let Some(server) = self.servers.get_mut(key) {
             server.open_requests += 1;
             server.expected_tokens += request.tokens;
@@ -294,7 +294,7 @@
             server.record_unreported(now, request.prompt, request.tokens);
             server.cold.record_send(now);
             let address = server.record.address;
-            server.limit.record_sent(now, address, &self.entries);
+            server.limit.record_sent(now, address, &self.entry_shares);
         }
     }
 
@@ -312,14 +312,14 @@
     }
 
     /// Records that the first event of a request arrived, or will not arrive: its prefill is over.
-    pub fn began(&mut self, key: ServerKey, prompt: u64) {
+    pub fn record_prefill_end(&mut self, key: ServerKey, prompt: u64) {
         if let Some(server) = self.servers.get_mut(key) {
             server.prefill_tokens = server.prefill_tokens.saturating_sub(prompt);
         }
     }
 
     /// Records that a request is no longer at the server.
-    pub fn ended(&mut self, key: ServerKey, tokens: u64) {
+    pub fn record_ended(&mut self, key: ServerKey, tokens: u64) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
@@ -331,7 +331,7 @@
     }
 
     /// Records that a server served a request, which ends its backoff.
-    pub fn went_well(&mut self, key: ServerKey) {
+    pub fn record_success(&mut self, key: ServerKey) {
         if let Some(server) = self.servers.get_mut(key) {
             server.consecutive_failures = 0;
             server.backoff_until = Time::ZERO;
@@ -339,7 +339,7 @@
     }
 
     /// Records that a server failed a request; with `hard`, that it could not be reached at all.
-    pub fn failed(&mut self, now: Time, key: ServerKey, hard: bool) {
+    pub fn record_failure(&mut self, now: Time, key: ServerKey, hard: bool) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
--- a/lib/src/fleet_choice.rs
+++ b/lib/src/fleet_choice.rs
@@ -58,7 +58,7 @@
 
 impl NoServer {
     /// The name in logs and counters.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             NoServer::None => "no_server",
             NoServer::Excluded(Exclusion::Region) => "region_not_allowed",
@@ -133,8 +133,8 @@
         };
         ExpectedLoad {
             memory: server.memory_fill(now, request.tokens, engine),
-            before: server.prefill_backlog(now),
-            own: server.prefill_time(now, request.prompt as f64),
+            prefill_backlog: server.prefill_backlog(now),
+            own_prefill_time: server.prefill_time(now, request.prompt as f64),
             running: server.requests(now),
             slots: engine.slots,
         }
@@ -161,7 +161,7 @@
                 excluded.add(reason);
                 continue;
             }
-            let region = self.place.region_of(&server.record.zone);
+            let region = self.location.region_of(&server.record.zone);
             let region_memory = memory.as_ref().and_then(|memory| memory.get(region));
             let headroom = region_memory.map_or(0.0, |m| m.headroom_cost(request.tokens));
             let cost = self.cost(now, server, request, spec) + headroom;
@@ -174,7 +174,7 @@
     }
 
     /// Whether the server is in this entry's region.
-    pub fn is_near(&self, key: ServerKey) -> bool {
+    pub fn is_in_own_region(&self, key: ServerKey) -> bool {
         let server = self.servers.get(key);
         server.is_some_and(|server| self.locality(&server.record.zone) != Locality::OtherRegion)
     }
@@ -185,7 +185,7 @@
             return false;
         };
         let zone = &server.record.zone;
-        regions.permits(self.place.region_of(zone)) && !self.evacuated.contains(zone)
+        regions.permits(self.location.region_of(zone)) && !self.evacuated.contains(zone)
     }
 
     /// The number of servers of this entry's region that are excluded for the request, by reason.
@@ -216,7 +216,7 @@
         spec: &ServiceSpec,
     ) -> Option<Exclusion> {
         let zone = &server.record.zone;
-        if !request.regions.permits(self.place.region_of(zone)) {
+        if !request.regions.permits(self.location.region_of(zone)) {
             return Some(Exclusion::Region);
         }
         if self.evacuated.contains(zone) {
@@ -234,7 +234,7 @@
         if !cold_start.is_limited() || server.cold.remaining(now, cold_start.period).is_zero() {
             return false;
         }
-        let share = cold_start.share(&self.entries, server.record.address);
+        let share = cold_start.share(&self.entry_shares, server.record.address);
         server.cold.recent_sends(now) >= share
     }
 
@@ -246,7 +246,7 @@
         let eligible = servers.filter(|s| {
             let zone = &s.record.zone;
             let usable = s.takes_work() && !self.evacuated.contains(zone);
-            usable && s.record.service == *service && regions.permits(self.place.region_of(zone))
+            usable && s.record.service == *service && regions.permits(self.location.region_of(zone))
         });
         let (near, far): (Vec<&Server>, Vec<&Server>) =
             eligible.partition(|s| self.locality(&s.record.zone) != Locality::OtherRegion);
@@ -260,7 +260,7 @@
     }
 
     /// The servers that the request may go to.
-    pub fn options(
+    pub fn candidates(
         &self,
         now: Time,
         request: &PlacementRequest<'_>,
@@ -322,7 +322,7 @@
             if &server.record.service != request.service || !server.listed || evacuated {
                 continue;
             }
-            let region = self.place.region_of(&server.record.zone);
+            let region = self.location.region_of(&server.record.zone);
             let memory = regions.entry(region.clone()).or_default();
             let used = server.used_tokens(now);
             if server.leaving_since.is_some() {
@@ -343,9 +343,9 @@
     }
 
     pub(crate) fn locality(&self, zone: &Name) -> Locality {
-        let place = &self.place;
-        match place.region_of(zone) == place.region_of(&place.zone) {
-            true if *zone == place.zone => Locality::SameZone,
+        let location = &self.location;
+        match location.region_of(zone) == location.region_of(&location.zone) {
+            true if *zone == location.zone => Locality::SameZone,
             true => Locality::SameRegion,
             false => Locality::OtherRegion,
         }
--- a/lib/src/fleet_limits.rs
+++ b/lib/src/fleet_limits.rs
@@ -109,6 +109,6 @@
 
     fn limit_wait(&self, now: Time, server: &Server) -> Option<Duration> {
         let address = server.record.address;
-        server.limit.wait(now, address, &self.entries)
+        server.limit.wait(now, address, &self.entry_shares)
     }
 }
--- a/lib/src/fleet_news.rs
+++ b/lib/src/fleet_news.rs
@@ -20,7 +20,7 @@
 impl Fleet {
     /// Applies a scout's announcement of its engine; returns whether the engine is new. It is used
     /// without an identifier until the list has it: only the list holds the engine's own.
-    pub fn announced(&mut self, now: Time, here: &EngineHere) -> bool {
+    pub fn add_announced(&mut self, now: Time, here: &EngineHere) -> bool {
         if self.key_at(here.address).is_some() {
             return false;
         }
@@ -32,7 +32,7 @@
     /// Applies the engine identifier that a scout reports; returns whether it is new. The list may name a
     /// previous incarnation at the address, which has then ended. If the list has no server at the
     /// address, the report is ignored: the engine may be leaving without having announced it.
-    pub fn identified(&mut self, now: Time, here: &EngineHere, id: &Name) -> bool {
+    pub fn apply_identity(&mut self, now: Time, here: &EngineHere, id: &Name) -> bool {
         let Some(key) = self.key_at(here.address) else {
             return false;
         };
@@ -48,7 +48,7 @@
     /// The key of the engine to which a scout has moved a run. Scouts know engines that this entry does
     /// not: such an engine gets only this run until the list has it. `None` if a server at the address was
     /// removed from the list: it may be that engine.
-    pub fn adopted(&mut self, now: Time, engine: &EngineHere) -> Option<ServerKey> {
+    pub fn key_for_moved_run(&mut self, now: Time, engine: &EngineHere) -> Option<ServerKey> {
         if let Some(key) = self.key_at(engine.address) {
             return Some(key);
         }
@@ -78,7 +78,7 @@
     }
 
     /// Applies a load report; returns whether it is the first sign that the engine is leaving.
-    pub fn report(&mut self, now: Time, engine: &EngineHere, load: &EngineLoad) -> bool {
+    pub fn apply_report(&mut self, now: Time, engine: &EngineHere, load: &EngineLoad) -> bool {
         let address = engine.address;
         if self.key_at(address).is_none() {
             self.add_observed(now, engine);
@@ -124,8 +124,8 @@
 
     /// Applies a scout's answer to a load query; returns whether it is the first sign that the engine is
     /// leaving. The answer includes all requests sent to the engine, also those of this entry.
-    pub fn answered(&mut self, now: Time, engine: &EngineHere, load: &EngineLoad) -> bool {
-        let started_leaving = self.report(now, engine, load);
+    pub fn apply_load_answer(&mut self, now: Time, engine: &EngineHere, load: &EngineLoad) -> bool {
+        let started_leaving = self.apply_report(now, engine, load);
         if let Some(key) = self.key_at(engine.address) {
             self.servers[key].unreported.clear();
         }
--- a/lib/src/fleet_server.rs
+++ b/lib/src/fleet_server.rs
@@ -116,9 +116,9 @@
     /// The peak fill level of the engine's memory, as a fraction, including this request.
     pub memory: f64,
     /// How long prefill of the prompts already there takes.
-    pub before: Duration,
+    pub prefill_backlog: Duration,
     /// How long prefill of this request's prompt takes.
-    pub own: Duration,
+    pub own_prefill_time: Duration,
     /// The number of requests that run or wait there.
     pub running: u32,
     /// The number of requests that can run there concurrently.
--- a/lib/src/stream_admission.rs
+++ b/lib/src/stream_admission.rs
@@ -172,7 +172,7 @@
 /// Checks whether an engine with this outlook has room for the stream.
 pub fn check(request: &AdmissionRequest, expected_load: &ExpectedLoad) -> Result<(), Bottleneck> {
     let reserve = f64::from(request.rank) * KIND_RESERVE;
-    let bonus = match request.age + expected_load.before + expected_load.own {
+    let bonus = match request.age + expected_load.prefill_backlog + expected_load.own_prefill_time {
         _ if request.age.is_zero() => 0.0,
         begins if begins <= request.objective => RETRY_BONUS,
         _ => -LATE_RESERVE,
@@ -195,7 +195,7 @@
         0 => PREFILL_SHARE_URGENT,
         _ => PREFILL_SHARE_OTHER,
     };
-    if expected_load.before > request.objective.mul_f64((prefill + bonus).max(0.0)) {
+    if expected_load.prefill_backlog > request.objective.mul_f64((prefill + bonus).max(0.0)) {
         return Err(Bottleneck::Prefill);
     }
     Ok(())
--- a/lib/tests/burst/mod.rs
+++ b/lib/tests/burst/mod.rs
@@ -14,7 +14,7 @@
 use cicada_lib::dialect::EngineRun;
 use cicada_lib::engine_load_tracker::EngineLoadTracker;
 use cicada_lib::fleet::Fleet;
-use cicada_lib::fleet::Place;
+use cicada_lib::fleet::Location;
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::move_plan;
@@ -200,13 +200,13 @@
 }
 
 fn entry() -> Entry {
-    let mut fleet = Fleet::new(Place {
+    let mut fleet = Fleet::new(Location {
         zone: Name::new("a"),
         regions: Default::default(),
     });
     for engine in 0..ENGINES {
         let record = site::server(&format!("e-{engine}"), address(engine), "a", SLOTS);
-        fleet.change(Time::ZERO, &ServerChange::Put(record));
+        fleet.apply_change(Time::ZERO, &ServerChange::Put(record));
     }
     Entry {
         fleet,
@@ -312,7 +312,9 @@
                 Event::Request(entry, caller) => self.handle_request(entry, caller),
                 Event::LoadReport(entry, engine, load) => {
                     let now = Time::from_millis(self.now);
-                    self.entries[entry].fleet.report(now, &here(engine), &load);
+                    self.entries[entry]
+                        .fleet
+                        .apply_report(now, &here(engine), &load);
                 }
                 Event::RunStarted(entry, message) => {
                     let now = Time::from_millis(self.now);
@@ -376,7 +378,7 @@
         entry_state
             .usage
             .record(now, &caller.workspace, need.tokens);
-        entry_state.fleet.started(now, key, &need);
+        entry_state.fleet.record_sent(now, key, &need);
         let engine = entry_state.fleet.record(key).expect("chosen").address;
         self.run_count += 1;
         let message = SentWord {
@@ -511,7 +513,7 @@
                 record_first_token(&mut self.outcome, run, self.now, self.has_greedy);
                 self.entries[run.entry]
                     .fleet
-                    .began(run.key, run.caller.prompt);
+                    .record_prefill_end(run.key, run.caller.prompt);
             }
             if run.produced >= run.caller.output {
                 finished.push(index);
@@ -519,7 +521,9 @@
         }
         for index in finished.into_iter().rev() {
             let run = engine_state.runs.remove(index);
-            self.entries[run.entry].fleet.ended(run.key, run.expected);
+            self.entries[run.entry]
+                .fleet
+                .record_ended(run.key, run.expected);
         }
         engine_state.step_ends_at += time;
     }
--- a/lib/tests/cold_start.rs
+++ b/lib/tests/cold_start.rs
@@ -8,8 +8,8 @@
 use cicada_lib::entry_shares::EntryShares;
 use cicada_lib::fleet::Exclusion;
 use cicada_lib::fleet::Fleet;
+use cicada_lib::fleet::Location;
 use cicada_lib::fleet::NoServer;
-use cicada_lib::fleet::Place;
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::EngineHere;
@@ -71,13 +71,13 @@
         capacity: CAPACITY,
         ..EngineLoad::default()
     };
-    fleet.report(now, &here, &load);
+    fleet.apply_report(now, &here, &load);
 }
 
 /// The fleet view of one of `entries` entries, which knows the warm servers but not the cold ones.
 fn fleet(number: usize, entries: usize) -> Fleet {
     let regions = ["a", "b"].map(|zone| (Name::new(zone), Name::new("r")));
-    let mut fleet = Fleet::new(Place {
+    let mut fleet = Fleet::new(Location {
         zone: Name::new("a"),
         regions: HashMap::from(regions),
     });
@@ -119,7 +119,7 @@
                 }
                 for number in WARM_SERVERS..WARM_SERVERS + COLD_SERVERS {
                     let restarted = record(number, start.period);
-                    fleet.change(now, &ServerChange::Put(restarted));
+                    fleet.apply_change(now, &ServerChange::Put(restarted));
                 }
             }
         }
@@ -141,7 +141,7 @@
             refused += 1;
             continue;
         };
-        fleet.started(now, key, &need);
+        fleet.record_sent(now, key, &need);
         let address = fleet.record(key).expect("chosen").address;
         if address.ip() >= engine(WARM_SERVERS).ip() {
             arrivals.entry(address).or_default().push(ms);
@@ -216,7 +216,7 @@
         rate: 31.0,
     };
     assert_eq!(start.share(&EntryShares::default(), engine(0)), 0);
-    let mut fleet = Fleet::new(Place {
+    let mut fleet = Fleet::new(Location {
         zone: Name::new("a"),
         regions: HashMap::new(),
     });
@@ -250,17 +250,17 @@
         let now = Time::from_millis(ms);
         let mut sent = 0;
         while sent < 10 && fleet.choose(now, &need, &spec(start.clone())).is_ok() {
-            fleet.started(now, candidates[0], &need);
+            fleet.record_sent(now, candidates[0], &need);
             sent += 1;
         }
         sent
     };
     assert_eq!(accepted(&mut fleet, 10), 10, "warm at first");
     let announced = ServerChange::Put(record(0, Duration::from_secs(2)));
-    fleet.change(Time::from_millis(2_000), &announced);
+    fleet.apply_change(Time::from_millis(2_000), &announced);
     assert_eq!(accepted(&mut fleet, 2_010), 1, "announced by its record");
     let outdated = ServerChange::Put(record(0, Duration::ZERO));
-    fleet.change(Time::from_millis(2_020), &outdated);
+    fleet.apply_change(Time::from_millis(2_020), &outdated);
     assert_eq!(
         accepted(&mut fleet, 3_900),
         1,
@@ -277,9 +277,9 @@
         capacity: CAPACITY,
         ..EngineLoad::default()
     };
-    fleet.report(Time::from_millis(7_000), &here, &load);
+    fleet.apply_report(Time::from_millis(7_000), &here, &load);
     assert_eq!(accepted(&mut fleet, 7_001), 1, "announced by its scout");
-    assert!(fleet.identified(Time::from_millis(9_000), &here, &Name::new("i-other")));
+    assert!(fleet.apply_identity(Time::from_millis(9_000), &here, &Name::new("i-other")));
     assert_eq!(accepted(&mut fleet, 9_001), 1, "another incarnation");
 }
 
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -6,8 +6,8 @@
 
 use cicada_lib::fleet::Exclusion;
 use cicada_lib::fleet::Fleet;
+use cicada_lib::fleet::Location;
 use cicada_lib::fleet::NoServer;
-use cicada_lib::fleet::Place;
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::EngineHere;
@@ -41,7 +41,7 @@
 
 fn fleet(zone: &str) -> Fleet {
     let regions = ["a", "b", "c"].map(|z| (Name::new(z), Name::new(format!("region-{z}"))));
-    Fleet::new(Place {
+    Fleet::new(Location {
         zone: Name::new(zone),
         regions: HashMap::from(regions),
     })
@@ -89,7 +89,7 @@
     let service = Name::new("llm");
     let request = request(&service, &[]);
     let key = fleet.choose(now, &request, &spec())?;
-    fleet.started(now, key, &request);
+    fleet.record_sent(now, key, &request);
     Ok(fleet
         .record(key)
         .map(|r| r.id.to_string())
@@ -103,7 +103,7 @@
     let mut fleet = fleet("a");
     let records: Vec<ServerRecord> = (0..4).map(|n| record(n, "a")).collect();
     fleet.replace_servers(millis(0), &records);
-    fleet.report(millis(0), &here(0, "a"), &report(16_000, 4));
+    fleet.apply_report(millis(0), &here(0, "a"), &report(16_000, 4));
     let mut counts: HashMap<String, u64> = HashMap::new();
     for number in 0..20 {
         let now = millis(1_000 * number);
@@ -112,8 +112,8 @@
         let first = counts.get("i-0").copied().unwrap_or_default();
         let reported = report(16_000 + first * REQUEST_TOKENS, 4 + first as u32);
         let engine = fleet.key_at(address(id.trim_start_matches("i-").parse().unwrap()));
-        fleet.began(engine.unwrap(), PROMPT_TOKENS);
-        fleet.report(now + Duration::from_millis(500), &here(0, "a"), &reported);
+        fleet.record_prefill_end(engine.unwrap(), PROMPT_TOKENS);
+        fleet.apply_report(now + Duration::from_millis(500), &here(0, "a"), &reported);
     }
     let first = counts.get("i-0").copied().unwrap_or_default();
     assert!(
@@ -143,9 +143,9 @@
         (2, "b", 9_000),
         (3, "b", 9_000),
     ] {
-        fleet.report(millis(0), &here(number, zone), &report(used, 4));
+        fleet.apply_report(millis(0), &here(number, zone), &report(used, 4));
     }
-    fleet.report(millis(0), &here(4, "b"), &report(9_000, 2));
+    fleet.apply_report(millis(0), &here(4, "b"), &report(9_000, 2));
     let id = send(&mut fleet, millis(10)).unwrap();
     assert!(
         ["i-2", "i-3", "i-4"].contains(&id.as_str()),
@@ -163,7 +163,7 @@
     fleet.replace_servers(millis(0), &records);
     for number in 0..8 {
         let zone = if number < 4 { "a" } else { "b" };
-        fleet.report(millis(0), &here(number, zone), &report(10_000, 3));
+        fleet.apply_report(millis(0), &here(number, zone), &report(10_000, 3));
     }
     let id = send(&mut fleet, millis(10)).unwrap();
     assert!(
@@ -182,7 +182,7 @@
         fleet.replace_servers(millis(0), &records);
         for number in 0..4 {
             let used = if number == 3 { 0 } else { 6_000 };
-            fleet.report(millis(0), &here(number, "a"), &report(used, 2));
+            fleet.apply_report(millis(0), &here(number, "a"), &report(used, 2));
         }
     }
     let mut counts: HashMap<String, u32> = HashMap::new();
@@ -206,11 +206,11 @@
     fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "a")]);
     let mut draining = record(0, "a");
     draining.phase = ServerPhase::Draining;
-    fleet.change(millis(1), &ServerChange::Put(draining));
+    fleet.apply_change(millis(1), &ServerChange::Put(draining));
     for _ in 0..10 {
         assert_eq!(send(&mut fleet, millis(2)).unwrap(), "i-1");
     }
-    fleet.change(millis(3), &ServerChange::Gone(Name::new("i-1")));
+    fleet.apply_change(millis(3), &ServerChange::Gone(Name::new("i-1")));
     assert_eq!(send(&mut fleet, millis(4)), Err(NoServer::None));
 }
 
@@ -223,10 +223,10 @@
     let mut leaving = report(0, 0);
     leaving.leaving = true;
     assert!(
-        fleet.report(millis(1), &here(0, "a"), &leaving),
+        fleet.apply_report(millis(1), &here(0, "a"), &leaving),
         "the first sign of it"
     );
-    fleet.change(millis(2), &ServerChange::Put(record(0, "a")));
+    fleet.apply_change(millis(2), &ServerChange::Put(record(0, "a")));
     assert_eq!(send(&mut fleet, millis(3)).unwrap(), "i-1");
     assert_eq!(send(&mut fleet, millis(3)).unwrap(), "i-1");
 }
@@ -240,16 +240,16 @@
     let before = fleet
         .choose(millis(1), &request(&service, &[]), &spec())
         .unwrap();
-    fleet.started(millis(1), before, &request(&service, &[]));
+    fleet.record_sent(millis(1), before, &request(&service, &[]));
     let mut restarted = record(0, "a");
     restarted.born = 2;
-    fleet.change(millis(2), &ServerChange::Put(restarted));
-    assert!(fleet.leaving(before).is_some());
+    fleet.apply_change(millis(2), &ServerChange::Put(restarted));
+    assert!(fleet.leaving_since(before).is_some());
     let after = fleet
         .choose(millis(3), &request(&service, &[]), &spec())
         .unwrap();
     assert_ne!(before, after);
-    assert!(fleet.leaving(after).is_none());
+    assert!(fleet.leaving_since(after).is_none());
 }
 
 #[test]
@@ -260,7 +260,7 @@
     let key = fleet
         .choose(millis(0), &request(&service, &[]), &spec())
         .unwrap();
-    fleet.failed(millis(0), key, true);
+    fleet.record_failure(millis(0), key, true);
     let lost = fleet.record(key).map(|r| r.id.to_string()).unwrap();
     for _ in 0..3 {
         assert_ne!(send(&mut fleet, millis(10)).unwrap(), lost);
@@ -274,9 +274,9 @@
 #[test]
 fn an_announced_engine_keeps_its_requests_once_it_is_listed() {
     let mut fleet = fleet("a");
-    assert!(fleet.announced(millis(0), &here(0, "a")));
+    assert!(fleet.add_announced(millis(0), &here(0, "a")));
     assert!(
-        !fleet.announced(millis(1), &here(0, "a")),
+        !fleet.add_announced(millis(1), &here(0, "a")),
         "it is known already"
     );
     let service = Name::new("llm");
@@ -287,17 +287,17 @@
         Fleet::expected_id(fleet.record(key).unwrap()),
         Name::default()
     );
-    fleet.started(millis(2), key, &request(&service, &[]));
+    fleet.record_sent(millis(2), key, &request(&service, &[]));
     fleet.replace_servers(millis(3), &[record(0, "a")]);
-    assert!(fleet.leaving(key).is_none());
+    assert!(fleet.leaving_since(key).is_none());
     assert_eq!(fleet.record(key).unwrap().id, Name::new("i-0"));
 }
 
 #[test]
 fn an_announced_engine_whose_scout_falls_silent_is_removed() {
     let mut fleet = fleet("a");
-    fleet.announced(millis(0), &here(0, "a"));
-    fleet.report(millis(100), &here(0, "a"), &report(0, 0));
+    fleet.add_announced(millis(0), &here(0, "a"));
+    fleet.apply_report(millis(100), &here(0, "a"), &report(0, 0));
     fleet.remove_silent_engines(millis(500));
     assert!(send(&mut fleet, millis(600)).is_ok());
     fleet.remove_silent_engines(millis(5_000));
@@ -316,13 +316,13 @@
         .unwrap();
     fleet.record_mismatch(millis(2), key, &Name::new("i-new"));
     assert_eq!(send(&mut fleet, millis(3)), Err(NoServer::None));
-    fleet.report(millis(4), &here(0, "a"), &report(0, 0));
+    fleet.apply_report(millis(4), &here(0, "a"), &report(0, 0));
     assert_eq!(send(&mut fleet, millis(5)).unwrap(), "i-new");
     // Without a recent scout report the address may belong to another service by now.
     let key = fleet.key_at(address(0)).unwrap();
     fleet.record_mismatch(millis(3_006), key, &Name::new("i-newer"));
     assert_eq!(send(&mut fleet, millis(3_007)), Err(NoServer::None));
-    fleet.report(millis(9_000), &here(0, "a"), &report(0, 0));
+    fleet.apply_report(millis(9_000), &here(0, "a"), &report(0, 0));
     assert_eq!(
         send(&mut fleet, millis(9_001)),
         Err(NoServer::None),
@@ -345,7 +345,7 @@
     let mut went = Vec::new();
     for _ in 0..12 {
         let key = fleet.choose(millis(1), &request, &plain()).unwrap();
-        fleet.started(millis(1), key, &request);
+        fleet.record_sent(millis(1), key, &request);
         went.push(fleet.record(key).unwrap().id.to_string());
     }
     assert!(went[..6].iter().all(|id| id == "i-0"), "{went:?}");
@@ -359,17 +359,17 @@
 fn an_ended_incarnation_is_not_revived_by_the_list() {
     let mut fleet = fleet("a");
     fleet.replace_servers(millis(0), &[record(0, "a")]);
-    fleet.report(millis(1), &here(0, "a"), &report(5_000, 2));
+    fleet.apply_report(millis(1), &here(0, "a"), &report(5_000, 2));
     let key = fleet.key_at(address(0)).unwrap();
     fleet.record_mismatch(millis(2), key, &Name::new("i-new"));
     assert_eq!(send(&mut fleet, millis(3)).unwrap(), "i-new");
     let key = fleet.key_at(address(0)).unwrap();
     assert!(
-        fleet.load(millis(3), key).0 > 5_000,
+        fleet.memory_use(millis(3), key).0 > 5_000,
         "the scout's report is kept"
     );
     fleet.replace_servers(millis(500), &[record(0, "a")]);
-    fleet.change(millis(600), &ServerChange::Put(record(0, "a")));
+    fleet.apply_change(millis(600), &ServerChange::Put(record(0, "a")));
     assert_eq!(send(&mut fleet, millis(700)).unwrap(), "i-new");
     // By now the list should have it.
     fleet.replace_servers(millis(6_000), &[]);
@@ -377,7 +377,7 @@
     // Another incarnation under the first identifier is not the one that ended.
     let mut restarted = record(0, "a");
     restarted.born = 2;
-    fleet.change(millis(6_100), &ServerChange::Put(restarted));
+    fleet.apply_change(millis(6_100), &ServerChange::Put(restarted));
     assert_eq!(send(&mut fleet, millis(6_200)).unwrap(), "i-0");
 }
 
@@ -387,9 +387,9 @@
     let mut fleet = fleet("a");
     fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "a")]);
     let id = Name::new("i-new");
-    assert!(fleet.identified(millis(1), &here(0, "a"), &id));
+    assert!(fleet.apply_identity(millis(1), &here(0, "a"), &id));
     assert!(
-        !fleet.identified(millis(2), &here(0, "a"), &id),
+        !fleet.apply_identity(millis(2), &here(0, "a"), &id),
         "it is known already"
     );
     let key = fleet.key_at(address(0)).unwrap();
@@ -400,9 +400,9 @@
     let mut listed = record(0, "a");
     listed.id = id.clone();
     listed.born = 9;
-    fleet.change(millis(900), &ServerChange::Put(listed));
+    fleet.apply_change(millis(900), &ServerChange::Put(listed));
     assert_eq!(fleet.key_at(address(0)), Some(key), "the same incarnation");
-    fleet.change(millis(1_000), &ServerChange::Gone(id));
+    fleet.apply_change(millis(1_000), &ServerChange::Gone(id));
     assert!(fleet.key_at(address(0)).is_none());
 }
 
@@ -412,13 +412,13 @@
 fn a_scout_does_not_revive_an_engine_that_was_removed_from_the_list() {
     let mut fleet = fleet("a");
     fleet.replace_servers(millis(0), &[record(0, "a")]);
-    fleet.change(millis(1), &ServerChange::Gone(Name::new("i-0")));
-    assert!(!fleet.identified(millis(2), &here(0, "a"), &Name::new("i-0")));
+    fleet.apply_change(millis(1), &ServerChange::Gone(Name::new("i-0")));
+    assert!(!fleet.apply_identity(millis(2), &here(0, "a"), &Name::new("i-0")));
     assert_eq!(send(&mut fleet, millis(3)), Err(NoServer::None));
-    fleet.change(millis(4), &ServerChange::Put(record(1, "a")));
+    fleet.apply_change(millis(4), &ServerChange::Put(record(1, "a")));
     let mut other = here(1, "a");
     other.service = Name::new("other");
-    assert!(!fleet.identified(millis(5), &other, &Name::new("i-x")));
+    assert!(!fleet.apply_identity(millis(5), &other, &Name::new("i-x")));
 }
 
 /// The caller that requests reports of new engines gets each address once.
@@ -439,8 +439,8 @@
     let mut fleet = fleet("a");
     fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "a")]);
     let service = Name::new("llm");
-    let key = fleet.adopted(millis(1), &here(2, "a")).unwrap();
-    fleet.started(millis(1), key, &request(&service, &[]));
+    let key = fleet.key_for_moved_run(millis(1), &here(2, "a")).unwrap();
+    fleet.record_sent(millis(1), key, &request(&service, &[]));
     assert_eq!(
         Fleet::expected_id(fleet.record(key).unwrap()),
         Name::default(),
@@ -448,15 +448,15 @@
     );
     fleet.replace_servers(millis(2), &[]);
     assert_eq!(send(&mut fleet, millis(3)), Err(NoServer::None));
-    fleet.ended(key, request(&service, &[]).tokens);
+    fleet.record_ended(key, request(&service, &[]).tokens);
     assert!(fleet.record(key).is_none(), "it is removed");
     assert!(
-        fleet.adopted(millis(4), &here(1, "a")).is_none(),
+        fleet.key_for_moved_run(millis(4), &here(1, "a")).is_none(),
         "it was removed from the list"
     );
     fleet.replace_servers(millis(5), &[record(1, "a")]);
     let listed = fleet.key_at(address(1));
-    assert_eq!(fleet.adopted(millis(6), &here(1, "a")), listed);
+    assert_eq!(fleet.key_for_moved_run(millis(6), &here(1, "a")), listed);
 }
 
 /// Servers are chosen by reports only if these are frequent. A relay without engines in its region
@@ -472,14 +472,14 @@
     let mut near = fleet("a");
     near.replace_servers(millis(0), &[record(0, "a"), record(1, "b")]);
     assert!(near.reports_too_sparse(millis(1), &service, &ANY_REGION));
-    near.report(millis(1), &here(0, "a"), &frequent);
-    near.report(millis(1), &here(1, "b"), &infrequent);
+    near.apply_report(millis(1), &here(0, "a"), &frequent);
+    near.apply_report(millis(1), &here(1, "b"), &infrequent);
     assert!(!near.reports_too_sparse(millis(2), &service, &ANY_REGION));
-    near.report(millis(3), &here(0, "a"), &infrequent);
+    near.apply_report(millis(3), &here(0, "a"), &infrequent);
     assert!(near.reports_too_sparse(millis(4), &service, &ANY_REGION));
     let mut far = fleet("c");
     far.replace_servers(millis(0), &[record(0, "a")]);
-    far.report(millis(1), &here(0, "a"), &frequent);
+    far.apply_report(millis(1), &here(0, "a"), &frequent);
     assert!(!far.reports_too_sparse(millis(2), &service, &ANY_REGION));
 }
 
@@ -491,16 +491,16 @@
     fleet.replace_servers(millis(0), &[record(0, "a")]);
     send(&mut fleet, millis(1)).unwrap();
     let previous = fleet.key_at(address(0)).unwrap();
-    fleet.change(millis(2), &ServerChange::Gone(Name::new("i-0")));
+    fleet.apply_change(millis(2), &ServerChange::Gone(Name::new("i-0")));
     assert_eq!(fleet.key_at(address(0)), None);
     let mut second = record(0, "a");
     second.id = Name::new("i-9");
     second.born = 2;
-    fleet.change(millis(3), &ServerChange::Put(second));
+    fleet.apply_change(millis(3), &ServerChange::Put(second));
     let listed = fleet.key_at(address(0)).unwrap();
     assert_ne!(listed, previous);
     assert_eq!(fleet.record(listed).unwrap().id.as_str(), "i-9");
-    fleet.ended(previous, REQUEST_TOKENS);
+    fleet.record_ended(previous, REQUEST_TOKENS);
     assert_eq!(fleet.key_at(address(0)), Some(listed));
     assert!(fleet.record(previous).is_none());
 }
@@ -515,7 +515,7 @@
 fn a_restricted_request_goes_only_to_allowed_regions() {
     let mut fleet = fleet("a");
     fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "b"), record(2, "c")]);
-    fleet.report(millis(1), &here(1, "b"), &report(33_000, 20));
+    fleet.apply_report(millis(1), &here(1, "b"), &report(33_000, 20));
     let service = Name::new("llm");
     let regions = only(&["region-b", "region-nowhere"]);
     let request = PlacementRequest {
@@ -526,7 +526,7 @@
     assert_eq!(fleet.record(key).unwrap().id, Name::new("i-1"));
     let left_out = fleet.exclusions_in_own_region(millis(2), &request, &spec());
     assert_eq!((left_out.region, left_out.evacuated), (1, 0));
-    let options = fleet.options(millis(2), &request, &spec());
+    let options = fleet.candidates(millis(2), &request, &spec());
     assert_eq!(options.len(), 1, "no other server is asked for its load");
     let no_regions = only(&[]);
     let request = PlacementRequest {
@@ -551,7 +551,7 @@
     let change = fleet.set_evacuated(millis(2), &evacuated(5, &["a"]));
     assert_eq!(change.begun, [Name::new("a")]);
     assert_eq!(send(&mut fleet, millis(3)), Ok("i-1".into()));
-    fleet.change(millis(4), &ServerChange::Put(record(2, "a")));
+    fleet.apply_change(millis(4), &ServerChange::Put(record(2, "a")));
     assert_eq!(
         send(&mut fleet, millis(5)),
         Ok("i-1".into()),
@@ -589,9 +589,9 @@
 fn a_server_that_has_left_is_not_taken_back_from_an_older_copy() {
     let mut fleet = fleet("a");
     fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "b")]);
-    fleet.change(millis(100), &ServerChange::Gone(Name::new("i-0")));
+    fleet.apply_change(millis(100), &ServerChange::Gone(Name::new("i-0")));
     fleet.directory_rolled_back(millis(500));
-    fleet.add_all(millis(510), &[record(0, "a")]);
+    fleet.merge_servers(millis(510), &[record(0, "a")]);
     assert_eq!(send(&mut fleet, millis(520)), Ok("i-1".into()));
     fleet.replace_servers(millis(3_000), &[record(0, "a"), record(1, "b")]);
     assert_eq!(send(&mut fleet, millis(3_010)), Ok("i-1".into()));
@@ -599,7 +599,7 @@
         born: 7,
         ..record(0, "a")
     };
-    fleet.add_all(millis(3_020), &[other]);
+    fleet.merge_servers(millis(3_020), &[other]);
     assert_eq!(
         send(&mut fleet, millis(3_030)),
         Ok("i-0".into()),
@@ -612,10 +612,10 @@
 fn a_server_that_writes_its_entry_again_is_used() {
     let mut fleet = fleet("a");
     fleet.replace_servers(millis(0), &[record(0, "a"), record(1, "b")]);
-    fleet.change(millis(100), &ServerChange::Gone(Name::new("i-0")));
+    fleet.apply_change(millis(100), &ServerChange::Gone(Name::new("i-0")));
     fleet.directory_rolled_back(millis(500));
-    fleet.add_all(millis(510), &[record(0, "a")]);
-    fleet.change(millis(900), &ServerChange::Put(record(0, "a")));
+    fleet.merge_servers(millis(510), &[record(0, "a")]);
+    fleet.apply_change(millis(900), &ServerChange::Put(record(0, "a")));
     assert_eq!(send(&mut fleet, millis(910)), Ok("i-0".into()));
 }
 
@@ -629,9 +629,9 @@
         phase: ServerPhase::Draining,
         ..record(0, "a")
     };
-    fleet.change(millis(100), &ServerChange::Put(leaving));
+    fleet.apply_change(millis(100), &ServerChange::Put(leaving));
     fleet.directory_rolled_back(millis(500));
-    fleet.add_all(millis(510), &[record(0, "a"), record(1, "b")]);
+    fleet.merge_servers(millis(510), &[record(0, "a"), record(1, "b")]);
     assert_eq!(send(&mut fleet, millis(520)), Ok("i-1".into()));
     let phases: Vec<ServerPhase> = fleet.servers().map(|record| record.phase).collect();
     assert!(
--- a/lib/tests/placement_rules.rs
+++ b/lib/tests/placement_rules.rs
@@ -9,7 +9,7 @@
 
 use cicada_lib::cold_start::ColdStart;
 use cicada_lib::fleet::Fleet;
-use cicada_lib::fleet::Place;
+use cicada_lib::fleet::Location;
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::residency::AllowedRegions;
@@ -162,7 +162,7 @@
     /// Starts an entry with the state of the directory.
     fn start(&self, number: usize) -> Entry {
         let zones = (0..ZONES).map(|n| (zone(n), region(n)));
-        let mut fleet = Fleet::new(Place {
+        let mut fleet = Fleet::new(Location {
             zone: zone(number % ZONES),
             regions: zones.collect(),
         });
@@ -230,7 +230,7 @@
             self.records[number] = record(number, COLD_PERIOD);
             let put = ServerChange::Put(record(number, COLD_PERIOD));
             for entry in &mut self.entries {
-                entry.fleet.change(now, &put);
+                entry.fleet.apply_change(now, &put);
             }
         }
     }
@@ -272,7 +272,7 @@
         let Ok(key) = entry.fleet.choose(at, &request, &spec()) else {
             return Ok(());
         };
-        entry.fleet.started(at, key, &request);
+        entry.fleet.record_sent(at, key, &request);
         let record = entry.fleet.record(key).expect("chosen").clone();
         let must_know = |since: u64| now > since + GOSSIP_STEPS * STEP;
         if let Some(since) = self.evacuated_since.get(&record.zone)
--- a/lib/tests/relays/mod.rs
+++ b/lib/tests/relays/mod.rs
@@ -13,7 +13,7 @@
 use cicada_lib::dialect::EngineRun;
 use cicada_lib::engine_load_tracker::EngineLoadTracker;
 use cicada_lib::fleet::Fleet;
-use cicada_lib::fleet::Place;
+use cicada_lib::fleet::Location;
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::EngineHere;
@@ -171,7 +171,7 @@
 /// A relay of one of six availability zones, two of which are a region.
 fn fleet(relay: usize) -> Fleet {
     let regions = (0..ZONES).map(|z| (zone(z), Name::new(format!("region-{}", z / 2))));
-    let mut fleet = Fleet::new(Place {
+    let mut fleet = Fleet::new(Location {
         zone: zone(relay),
         regions: regions.collect(),
     });
@@ -223,7 +223,7 @@
                 return;
             };
             if let Some((key, tokens)) = self.ended.remove(&number) {
-                self.relays[relay].ended(key, tokens);
+                self.relays[relay].record_ended(key, tokens);
             }
         }
     }
@@ -239,7 +239,7 @@
             let idle = (prompt.tokens as f64 / READ) as u64;
             self.outcome.waits.push((now - prompt.sent, idle));
             at.runs.insert(prompt.id, now + RUN);
-            self.relays[prompt.relay].began(prompt.key, prompt.tokens);
+            self.relays[prompt.relay].record_prefill_end(prompt.key, prompt.tokens);
             let next = at.prompts.front();
             at.free = now + next.map_or(0, |next| (next.tokens as f64 / READ) as u64);
             if next.is_none() {
@@ -289,7 +289,7 @@
             }
             let load = self.load(engine, None);
             for relay in &mut self.relays {
-                relay.report(now, &here(engine), &load);
+                relay.apply_report(now, &here(engine), &load);
             }
         }
     }
@@ -314,7 +314,7 @@
         let key = fleet
             .choose(now, &need, &spec())
             .expect("engines are there");
-        fleet.started(now, key, &need);
+        fleet.record_sent(now, key, &need);
         let engine = fleet.record(key).expect("chosen").address;
         let number = number(engine);
         let word = SentWord {
@@ -352,7 +352,7 @@
         if !self.relays[relay].reports_too_sparse(now, need.service, need.regions) {
             return None;
         }
-        let options = self.relays[relay].options(now, need, &spec());
+        let options = self.relays[relay].candidates(now, need, &spec());
         let asked = placement::probe_targets(ProbeRound::First, &options, &mut self.rng);
         for key in &asked {
             let engine = self.relays[relay].record(*key).expect("asked").address;
@@ -365,7 +365,7 @@
                 asked: asked.len() as u32,
             };
             self.engines[number(engine)].load_tracker.reserve(now, &ask);
-            self.relays[relay].answered(now, &here(number(engine)), &load);
+            self.relays[relay].apply_load_answer(now, &here(number(engine)), &load);
         }
         Some(asked)
     }
--- a/lib/tests/round_trips.rs
+++ b/lib/tests/round_trips.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cicada_lib::fleet::Fleet;
-use cicada_lib::fleet::Place;
+use cicada_lib::fleet::Location;
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::placement::Locality;
@@ -56,7 +56,7 @@
 /// A plain server with six slots in the local zone, and one in another region.
 fn fleet() -> Fleet {
     let regions = ["a", "b"].map(|zone| (Name::new(zone), Name::new(format!("region-{zone}"))));
-    let mut fleet = Fleet::new(Place {
+    let mut fleet = Fleet::new(Location {
         zone: Name::new("a"),
         regions: HashMap::from(regions),
     });
@@ -73,7 +73,7 @@
     let near = fleet.key_at(address(0)).expect("listed");
     let mut count = 0;
     while count < 100 && fleet.choose(millis(10), &need, &spec()) == Ok(near) {
-        fleet.started(millis(10), near, &need);
+        fleet.record_sent(millis(10), near, &need);
         count += 1;
     }
     count
@@ -85,7 +85,7 @@
     let probed = |trip: Option<u32>| {
         let mut fleet = fleet();
         if let Some(trip) = trip {
-            fleet.probed(millis(1), &Name::new("b"), trip * MS);
+            fleet.record_round_trip(millis(1), &Name::new("b"), trip * MS);
         }
         local_calls(&mut fleet)
     };
@@ -103,7 +103,7 @@
     let calls_at = |ms: u32| {
         let mut fleet = fleet();
         let near = fleet.key_at(address(0)).expect("listed");
-        (0..200).for_each(|_| fleet.worked(millis(1), near, ms * MS));
+        (0..200).for_each(|_| fleet.record_work_time(millis(1), near, ms * MS));
         local_calls(&mut fleet)
     };
     let (short, long) = (calls_at(5), calls_at(150));
@@ -115,11 +115,11 @@
 fn one_slow_answer_does_not_divert_all_calls() {
     let mut fleet = fleet();
     let near = fleet.key_at(address(0)).expect("listed");
-    (0..200).for_each(|_| fleet.worked(millis(1), near, 30 * MS));
+    (0..200).for_each(|_| fleet.record_work_time(millis(1), near, 30 * MS));
     let before = local_calls(&mut fleet);
     let mut fleet = self::fleet();
     let near = fleet.key_at(address(0)).expect("listed");
-    (0..200).for_each(|_| fleet.worked(millis(1), near, 30 * MS));
-    fleet.worked(millis(2), near, 6_000 * MS);
+    (0..200).for_each(|_| fleet.record_work_time(millis(1), near, 30 * MS));
+    fleet.record_work_time(millis(2), near, 6_000 * MS);
     assert!(local_calls(&mut fleet) + 1 >= before, "{before}");
 }
--- a/lib/tests/server_limit.rs
+++ b/lib/tests/server_limit.rs
@@ -6,8 +6,8 @@
 
 use cicada_lib::fleet::Exclusion;
 use cicada_lib::fleet::Fleet;
+use cicada_lib::fleet::Location;
 use cicada_lib::fleet::NoServer;
-use cicada_lib::fleet::Place;
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::server_limit::LimitChange;
@@ -98,7 +98,7 @@
 
 /// The fleet of an entry that knows one server, and `entries` entries including itself.
 fn fleet(number: usize, entries: usize) -> Fleet {
-    let mut fleet = Fleet::new(Place {
+    let mut fleet = Fleet::new(Location {
         zone: Name::new("a"),
         regions: HashMap::new(),
     });
@@ -162,7 +162,7 @@
             self.refused.push(now);
             return;
         };
-        entry.fleet.started(at(now), key, &request);
+        entry.fleet.record_sent(at(now), key, &request);
         let arrival = now + self.rng.u64(1..MAX_DELAY);
         self.arrivals.push(arrival);
         let limited = (LIMIT_START..LIMIT_END).contains(&arrival);
@@ -195,7 +195,7 @@
             }
             let address = SocketAddr::from(([10, 1, 0, 1], 8_701));
             let key = entry.fleet.key_at(address).expect("listed");
-            entry.fleet.ended(key, 0);
+            entry.fleet.record_ended(key, 0);
             entry
                 .fleet
                 .record_limit(at(now), key, at(sent.at), sent.limit);
@@ -328,7 +328,7 @@
 /// Guards against an entry that takes the whole limit while it does not know how many entries there are.
 #[test]
 fn an_entry_that_knows_no_others_sends_nothing_to_a_limited_server() {
-    let mut fleet = Fleet::new(Place {
+    let mut fleet = Fleet::new(Location {
         zone: Name::new("a"),
         regions: HashMap::new(),
     });
@@ -367,7 +367,7 @@
     let key = fleet
         .choose(at(2 * SECOND), &request, &spec)
         .expect("its share");
-    (0..4).for_each(|_| fleet.started(at(2 * SECOND), key, &request));
+    (0..4).for_each(|_| fleet.record_sent(at(2 * SECOND), key, &request));
     assert!(fleet.choose(at(5 * SECOND), &request, &spec).is_err());
     let wait = fleet.shortest_limit_wait(at(5 * SECOND), &request, &spec);
     assert_eq!(wait, Some(Duration::from_secs(1)));
--- a/lib/tests/stream_admission.rs
+++ b/lib/tests/stream_admission.rs
@@ -29,8 +29,8 @@
 fn expected_load(memory: f64, before: u64, own: u64) -> ExpectedLoad {
     ExpectedLoad {
         memory,
-        before: Duration::from_millis(before),
-        own: Duration::from_millis(own),
+        prefill_backlog: Duration::from_millis(before),
+        own_prefill_time: Duration::from_millis(own),
         running: 4,
         slots: 64,
     }
--- a/relay/src/choice.rs
+++ b/relay/src/choice.rs
@@ -79,7 +79,7 @@
     spec: &ServiceSpec,
     round: ProbeRound,
 ) -> Vec<ServerKey> {
-    let options = relay.fleet().options(relay.now(), need, spec);
+    let options = relay.fleet().candidates(relay.now(), need, spec);
     placement::probe_targets(round, &options, &mut fastrand::Rng::new())
 }
 
--- a/relay/src/engine_words.rs
+++ b/relay/src/engine_words.rs
@@ -12,7 +12,7 @@
     /// Takes a report of an engine.
     pub(crate) fn report(&self, report: &ScoutReport) {
         let load = self.heeded(&report.load);
-        let turned = self.fleet().report(self.now(), &report.here, &load);
+        let turned = self.fleet().apply_report(self.now(), &report.here, &load);
         self.note_turned(turned, report);
     }
 
@@ -20,7 +20,9 @@
     pub(crate) fn load_answer(&self, answer: &LoadAnswer) {
         let report = &answer.report;
         let load = self.heeded(&report.load);
-        let turned = self.fleet().answered(self.now(), &report.here, &load);
+        let turned = self
+            .fleet()
+            .apply_load_answer(self.now(), &report.here, &load);
         self.note_turned(turned, report);
         self.asks().answered(answer);
     }
@@ -45,7 +47,7 @@
     /// A scout says who its engine is.
     pub(crate) fn engine_identity(&self, word: &EngineIdentity) {
         let (here, id) = (&word.here, &word.id);
-        if self.fleet().identified(self.now(), here, id) {
+        if self.fleet().apply_identity(self.now(), here, id) {
             let address = here.address;
             tracing::info!(engine = %address, server = %id, "fleet: a scout names another life of its engine");
         }
@@ -58,7 +60,7 @@
             return false;
         }
         let now = self.now();
-        let news = self.fleet().announced(now, here);
+        let news = self.fleet().add_announced(now, here);
         if news {
             tracing::info!(engine = %here.address, service = %here.service, "fleet: a scout says that its engine is there");
         }
--- a/relay/src/peer_net.rs
+++ b/relay/src/peer_net.rs
@@ -270,7 +270,7 @@
             Ok(Datagram::Pong(number)) => {
                 let now = self.relay.now();
                 if let Some((zone, took)) = self.probes.answered(now, from, number) {
-                    self.relay.fleet().probed(now, &zone, took);
+                    self.relay.fleet().record_round_trip(now, &zone, took);
                 }
             }
             _ => {
--- a/relay/src/placed.rs
+++ b/relay/src/placed.rs
@@ -94,30 +94,30 @@
     pub(crate) fn began(&mut self) {
         if !self.begun {
             self.begun = true;
-            self.relay.fleet().began(self.key, self.prompt);
+            self.relay.fleet().record_prefill_end(self.key, self.prompt);
         }
     }
 
     /// Since when the server is leaving.
     pub(crate) fn leaving(&self) -> Option<Time> {
-        self.relay.fleet().leaving(self.key)
+        self.relay.fleet().leaving_since(self.key)
     }
 
     /// How long the engine takes to read the prompts that it has.
     pub(crate) fn reading(&self) -> Duration {
         let now = self.relay.now();
-        self.relay.fleet().reading(now, self.key)
+        self.relay.fleet().prefill_backlog(now, self.key)
     }
 
     pub(crate) fn went_well(&self) {
-        self.relay.fleet().went_well(self.key);
+        self.relay.fleet().record_success(self.key);
         self.tell_ended(true);
     }
 
     /// The server failed the request; `hard` where it could not be reached.
     pub(crate) fn failed(&self, hard: bool) {
         let now = self.relay.now();
-        self.relay.fleet().failed(now, self.key, hard);
+        self.relay.fleet().record_failure(now, self.key, hard);
         self.tell_ended(false);
     }
 
@@ -149,7 +149,7 @@
     pub(crate) fn worked(&self, took: Duration, waiting: u32) {
         if waiting == 0 {
             let now = self.relay.now();
-            self.relay.fleet().worked(now, self.key, took);
+            self.relay.fleet().record_work_time(now, self.key, took);
         }
     }
 
@@ -169,6 +169,6 @@
 impl Drop for Placed {
     fn drop(&mut self) {
         self.began();
-        self.relay.fleet().ended(self.key, self.tokens);
+        self.relay.fleet().record_ended(self.key, self.tokens);
     }
 }
--- a/relay/src/relay_places.rs
+++ b/relay/src/relay_places.rs
@@ -45,21 +45,21 @@
         };
         let record = fleet.record(key).cloned();
         let record = record.ok_or(AdmissionError::NoServer(NoServer::None))?;
-        let (used, age) = fleet.load(now, key);
+        let (used, age) = fleet.memory_use(now, key);
         let basis = Basis {
             used,
             age: age.map(|age| age.as_millis() as u64),
             limit: fleet.limit(key).map(RequestRate::per_second),
-            left_out: (!fleet.is_near(key))
+            left_out: (!fleet.is_in_own_region(key))
                 .then(|| fleet.exclusions_in_own_region(now, need, spec)),
             ..Basis::default()
         };
         if let Some(asking) = asking {
             lock(&self.comebacks).record_admission(now, need.service, asking.rank);
         }
-        fleet.started(now, key, need);
+        fleet.record_sent(now, key, need);
         let basis = Basis {
-            reading: fleet.reading(now, key),
+            reading: fleet.prefill_backlog(now, key),
             ..basis
         };
         drop(fleet);
@@ -114,7 +114,7 @@
     /// Takes one further send for a service from the shared bound.
     pub(crate) fn take_retry(&self, service: &Name, spare: f64) -> bool {
         let now = self.now();
-        let entries = self.fleet().entries().count();
+        let entries = self.fleet().entry_shares().count();
         self.with_retries(service, |window| window.try_retry(now, entries, spare))
     }
 
@@ -135,12 +135,12 @@
     ) -> Option<Placed> {
         let now = self.now();
         let mut fleet = self.fleet();
-        let key = fleet.adopted(now, engine)?;
+        let key = fleet.key_for_moved_run(now, engine)?;
         if !fleet.is_permitted_at(key, need.regions) {
             return None;
         }
         let record = fleet.record(key).cloned()?;
-        fleet.started(now, key, need);
+        fleet.record_sent(now, key, need);
         drop(fleet);
         Some(Placed::new(self, key, record, need))
     }
--- a/relay/src/relay_settings.rs
+++ b/relay/src/relay_settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cicada_lib::fleet::Place;
+use cicada_lib::fleet::Location;
 use cicada_lib::ids::Name;
 use cicada_lib::retry_window::RetryLimit;
 
@@ -21,7 +21,7 @@
     /// Where the balancer asks whether the entry takes connections.
     pub ready: SocketAddr,
     /// The availability zone, and the regions of all.
-    pub place: Place,
+    pub place: Location,
     /// What may change while the relay runs.
     pub changing: Changing,
 }
--- a/relay/src/relay_view.rs
+++ b/relay/src/relay_view.rs
@@ -75,7 +75,7 @@
     /// Takes a list in which servers may be missing that are still there.
     pub fn add_servers(&self, listing: &ServerListing) {
         self.saw(listing.revision);
-        self.fleet().add_all(self.now(), &listing.servers);
+        self.fleet().merge_servers(self.now(), &listing.servers);
         lock(&self.changes).clear();
         self.listed_at(listing.revision);
     }
@@ -131,7 +131,7 @@
         let now = self.now();
         let mut fleet = self.fleet();
         for change in &news.changes {
-            fleet.change(now, change);
+            fleet.apply_change(now, change);
         }
         drop(fleet);
         lock(&self.changes).push(after, news);
--- a/relay/src/send.rs
+++ b/relay/src/send.rs
@@ -134,7 +134,7 @@
         (true, false) => ("unknown", OwnAnswer::Failed),
     };
     relay.figures().answer(outcome);
-    let lacking = attempts.lacking().map(NoServer::word);
+    let lacking = attempts.lacking().map(NoServer::as_str);
     if let ("not_run", Some(why)) = (outcome, lacking) {
         relay.figures().refusal(why);
     }
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -167,7 +167,7 @@
         .returns()
         .record(now, call.fingerprint(), asking.age, pause);
     let (why, expected_load) = (turned.bottleneck.name(), &turned.expected_load);
-    let (_, age) = relay.fleet().load(relay.now(), turned.server);
+    let (_, age) = relay.fleet().memory_use(relay.now(), turned.server);
     relay.figures().refusal(why);
     relay.figures().answer("not_run");
     tracing::info!(
@@ -178,8 +178,8 @@
         over = asking.over_share,
         memory = percent(expected_load.memory),
         running = expected_load.running,
-        reading = expected_load.before.as_millis() as u64,
-        own = expected_load.own.as_millis() as u64,
+        reading = expected_load.prefill_backlog.as_millis() as u64,
+        own = expected_load.own_prefill_time.as_millis() as u64,
         age = age.map(|age| age.as_millis() as u64),
         pause = pause.as_millis() as u64,
         "stream: turned away"
