--- a/lib/src/broadcast_queue.rs
+++ b/lib/src/broadcast_queue.rs
@@ -94,8 +94,8 @@
         self.own = Some((0, next_round_at));
     }
 
-    /// Returns the datagrams that are due now and fit the budget. `cost` is the size in bytes of a datagram with the given
-    /// number of updates.
+    /// Returns the datagrams that are due now and fit the budget. `cost` is the size in bytes of a datagram with the
+    /// given number of updates.
     pub(crate) fn due_rounds(
         &mut self,
         now: Time,
--- a/lib/src/engine_load_tracker.rs
+++ b/lib/src/engine_load_tracker.rs
@@ -47,7 +47,7 @@
 /// being opened.
 const REPORT_LAG: Duration = Duration::from_millis(5);
 
-/// A request that is_waiting longer has ended and its end was missed: no caller is_waiting this long for a first event.
+/// A request that waits longer has ended without the scout noticing: no caller waits this long for a first event.
 const MAX_WAIT: Duration = Duration::from_secs(40);
 
 /// Expected load of an engine.
@@ -114,13 +114,13 @@
     }
 
     /// Records a request that a relay has sent.
-    pub fn record_sent(&mut self, now: Time, word: &SentWord) {
-        let request = TrackedRequest::new(now, word.prompt, word.tokens, Stage::Sent);
-        self.requests.insert(word.id.clone(), request);
+    pub fn record_sent(&mut self, now: Time, announced: &SentWord) {
+        let request = TrackedRequest::new(now, announced.prompt, announced.tokens, Stage::Sent);
+        self.requests.insert(announced.id.clone(), request);
     }
 
-    /// Reserves capacity for a request that a relay probes for and may send. Each of the probed engines reserves an equal
-    /// part of it.
+    /// Reserves capacity for a request that a relay probes for and may send. Each of the probed engines reserves an
+    /// equal part of it.
     pub fn reserve(&mut self, now: Time, ask: &LoadAsk) {
         let engines = u64::from(ask.asked.max(1));
         let (prompt, tokens) = (ask.prompt / engines, ask.tokens / engines);
--- a/lib/src/prefill_rate.rs
+++ b/lib/src/prefill_rate.rs
@@ -36,8 +36,8 @@
 }
 
 impl PrefillRate {
-    /// Records a sample of the engine's state. `busy` is whether it has a prompt to prefill, `prefilled` the prompt tokens
-    /// of the runs that have begun since the last sample.
+    /// Records a sample of the engine's state. `busy` is whether it has a prompt to prefill, `prefilled` the prompt
+    /// tokens of the runs that have begun since the last sample.
     pub fn record_sample(&mut self, now: Time, busy: bool, prefilled: u64) {
         let last = self.last_sample.replace((now, busy));
         let Some((at, was_busy)) = last else {
--- a/lib/src/site.rs
+++ b/lib/src/site.rs
@@ -263,7 +263,7 @@
     /// Returns the evacuated availability zones.
     async fn evacuations(&self) -> Result<EvacuatedZones>;
 
-    /// Waits up to `wait` for the set of evacuated zones to differ from `known`, and returns it; `known` itself on timeout.
+    /// Waits up to `wait` for the evacuated zones to differ from `known` and returns them; `known` itself on timeout.
     async fn next_evacuations(
         &self,
         known: &EvacuatedZones,
--- a/lib/tests/engine_load_tracker.rs
+++ b/lib/tests/engine_load_tracker.rs
@@ -49,8 +49,8 @@
     load_tracker.forecast(now, None)
 }
 
-/// Two entries send between two reports. Before the engine reports either request, the forecast includes the peak memory
-/// and the prefill of both.
+/// Two entries send between two reports. Before the engine reports either request, the forecast includes the peak
+/// memory and the prefill of both.
 #[test]
 fn requests_in_transit_count_at_once() {
     let mut load_tracker = EngineLoadTracker::new();
@@ -138,8 +138,8 @@
     }
 }
 
-/// Two relays probe at the same time, five engines each. The second one sees a fifth of the first one's request, and not
-/// its own. Once sent, the first request counts in full, and the unused reservation expires.
+/// Two relays probe at the same time, five engines each. The second one sees a fifth of the first one's request, and
+/// not its own. Once sent, the first request counts in full, and the unused reservation expires.
 #[test]
 fn a_reservation_counts_in_part() {
     let mut load_tracker = EngineLoadTracker::new();
