--- a/lib/src/reach.rs
+++ b/lib/src/reach.rs
@@ -1,12 +1,12 @@
-//! Which servers and regions could not be reached lately.
+//! Tracks the servers and regions that recently could not be reached, like a circuit breaker.
 //!
-//! Load pattern: a region is lost, or the links to it are, and the membership list still shows its
-//! servers as ready for many seconds. Without this, every request would try servers of that region in
-//! turn until its tries or the retry budget are used up.
+//! Load pattern: a region or the links to it fail, and the membership list still shows its servers as
+//! ready for many seconds. Without this tracking, every request would try servers of that region in
+//! turn until its attempts or the retry budget are exhausted.
 //!
-//! Delay: a server is passed over from its first lost request on; a region after
-//! [`REGION_SERVERS`] of its servers were lost with no answer from the region in between. Hysteresis:
-//! one request in each [`PROBE`] tries again; one answer brings the whole region back.
+//! Delay: a server is avoided after its first lost request; a region after [`REGION_LOSS_THRESHOLD`]
+//! of its servers were lost without an answer from the region in between. Hysteresis: one probe
+//! request is allowed in each [`PROBE_INTERVAL`]; a single answer restores the whole region.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -17,92 +17,98 @@
 use crate::routing::ServerKey;
 use crate::time::Time;
 
-/// Servers of a region lost in a row that count as the loss of the region. One or two are an ordinary
-/// day's failures.
-pub(crate) const REGION_SERVERS: u32 = 3;
+/// Servers of a region that must be lost in a row before the region counts as lost. One or two lost
+/// servers are ordinary failures.
+pub(crate) const REGION_LOSS_THRESHOLD: u32 = 3;
 
-/// How often an unreachable server or region is tried with one request.
-pub(crate) const PROBE: Duration = Duration::from_secs(1);
+/// The interval between probe requests to an unreachable server or region.
+pub(crate) const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The longest pause between two tries of one server.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+/// The upper bound of the backoff between probes of one server.
+const MAX_PROBE_INTERVAL: Duration = Duration::from_secs(8);
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Lost {
-    // Losses in a row.
-    losses: u32,
-    // No new work before this, but for a probe.
-    until: Time,
+struct LossState {
+    consecutive_losses: u32,
+    // No requests are sent before this time, except for a probe.
+    avoid_until: Time,
 }
 
-/// What could not be reached lately, as seen by one entry.
+/// The servers and regions that one entry recently could not reach.
 #[derive(Debug, Default)]
 pub(crate) struct Reach {
-    servers: SecondaryMap<ServerKey, Lost>,
-    // Losses count distinct servers.
-    regions: HashMap<Name, Lost>,
+    servers: SecondaryMap<ServerKey, LossState>,
+    // Here `consecutive_losses` counts distinct servers.
+    regions: HashMap<Name, LossState>,
 }
 
 impl Reach {
-    /// A request to the server was lost.
+    /// Records that a request to the server was lost.
     pub(crate) fn lost(&mut self, now: Time, server: ServerKey, region: &Name) {
         let Some(entry) = self.servers.entry(server) else {
             return;
         };
         let lost = entry.or_default();
-        // Requests that were lost together are one loss.
-        if lost.losses > 0 && now < lost.until {
+        // Requests that were lost together count as one loss.
+        if lost.consecutive_losses > 0 && now < lost.avoid_until {
             return;
         }
-        let first = lost.losses == 0;
-        lost.until = now + (PROBE * 2u32.saturating_pow(lost.losses)).min(LONGEST_PAUSE);
-        lost.losses = (lost.losses + 1).min(10);
+        let first_loss = lost.consecutive_losses == 0;
+        lost.avoid_until = now
+            + (PROBE_INTERVAL * 2u32.saturating_pow(lost.consecutive_losses))
+                .min(MAX_PROBE_INTERVAL);
+        lost.consecutive_losses = (lost.consecutive_losses + 1).min(10);
         let region = self.regions.entry(region.clone()).or_default();
-        if first {
-            region.losses += 1;
+        if first_loss {
+            region.consecutive_losses += 1;
         }
-        if region.losses >= REGION_SERVERS {
-            region.until = now + PROBE;
+        if region.consecutive_losses >= REGION_LOSS_THRESHOLD {
+            region.avoid_until = now + PROBE_INTERVAL;
         }
     }
 
-    /// The server answered.
+    /// Records that the server answered.
     pub(crate) fn answered(&mut self, server: ServerKey, region: &Name) {
         self.servers.remove(server);
         if let Some(lost) = self.regions.get_mut(region) {
-            *lost = Lost::default();
+            *lost = LossState::default();
         }
     }
 
-    /// The server left.
+    /// Forgets a server that left.
     pub(crate) fn left(&mut self, server: ServerKey) {
         self.servers.remove(server);
     }
 
-    /// Whether the server should be passed over now.
+    /// Returns whether requests should avoid the server now.
     pub(crate) fn avoids(&self, now: Time, server: ServerKey) -> bool {
-        self.servers.get(server).is_some_and(|l| now < l.until)
+        self.servers
+            .get(server)
+            .is_some_and(|l| now < l.avoid_until)
     }
 
-    /// Whether the server's last request was lost.
+    /// Returns whether the last request to the server was lost.
     pub(crate) fn is_lost(&self, server: ServerKey) -> bool {
         self.servers.contains_key(server)
     }
 
-    /// Whether the whole region should be passed over now.
+    /// Returns whether requests should avoid the whole region now.
     pub(crate) fn avoids_region(&self, now: Time, region: &Name) -> bool {
-        self.regions.get(region).is_some_and(|l| now < l.until)
+        self.regions
+            .get(region)
+            .is_some_and(|l| now < l.avoid_until)
     }
 
-    /// A request goes to the server. If it is a probe, the others go on passing over it.
+    /// Records that a request is sent to the server. If it is a probe, other requests keep avoiding the
+    /// server and its region meanwhile.
     pub(crate) fn started(&mut self, now: Time, server: ServerKey, region: &Name) {
         if let Some(lost) = self.servers.get_mut(server) {
-            lost.until = lost.until.max(now + PROBE);
+            lost.avoid_until = lost.avoid_until.max(now + PROBE_INTERVAL);
         }
         if let Some(lost) = self.regions.get_mut(region)
-            && lost.losses >= REGION_SERVERS
+            && lost.consecutive_losses >= REGION_LOSS_THRESHOLD
         {
-            lost.until = lost.until.max(now + PROBE);
+            lost.avoid_until = lost.avoid_until.max(now + PROBE_INTERVAL);
         }
     }
 }
--- a/lib/src/rendezvous.rs
+++ b/lib/src/rendezvous.rs
@@ -1,20 +1,21 @@
-//! Hashes for rendezvous hashing: the same in every process, so that all draw alike without a message.
+//! Hash functions for rendezvous hashing. They are the same in every process, so that all processes
+//! compute the same result without communication.
 
 use std::net::SocketAddr;
 
 use crate::ids::Name;
 
-/// A name's hash.
+/// Hashes a name.
 pub(crate) fn hash_name(name: &Name) -> u64 {
     hash_bytes(name.as_str().as_bytes())
 }
 
-/// An address's hash.
+/// Hashes an address.
 pub(crate) fn hash_address(address: SocketAddr) -> u64 {
     hash_bytes(address.to_string().as_bytes())
 }
 
-/// Spreads the bits of a hash: the finalizer of SplitMix64.
+/// Mixes the bits of a hash with the finalizer of SplitMix64.
 pub(crate) fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/lib/src/spread.rs
+++ b/lib/src/spread.rs
@@ -1,13 +1,15 @@
-//! From whom a process gets the newest version of the configuration, and when.
+//! Decides when a process pulls the newest version of the configuration, and from which source.
 //!
-//! Load pattern: 3,400 changes a day and, now and then, a restart of everything, for 1,370 processes
-//! before a store that takes 2,000 reads a second for all purposes. If each process watched the root,
-//! a change would cost the store 1,370 answers and as many reads of each changed chunk within a
-//! second. Here two processes of each availability zone watch, the others hear of a version by gossip
-//! and pull the chunks that they lack from one who has them, which then hands them on itself. The
-//! store is asked by others only when peers fail, after a drawn wait and within a budget.
+//! Load pattern: 3,400 changes a day, occasional restarts of all 1,370 processes, and a store that
+//! serves 2,000 reads a second for all purposes. If each process watched the root, a change would
+//! cost the store 1,370 responses and as many reads of each changed chunk within a second. Instead,
+//! two processes of each availability zone watch the store. The others learn of a version by gossip
+//! and pull the missing chunks from a peer that has them; each then serves them to others. A process
+//! that is not a watcher reads the store only when its peers fail, after a random delay and at a
+//! limited rate.
 //!
-//! The driver asks [`Spread::next`] for a pull, makes it, and reports with [`Spread::done`].
+//! The driver gets a pull from [`Spread::next`], performs it, and reports the result to
+//! [`Spread::done`].
 
 use std::time::Duration;
 
@@ -17,146 +19,149 @@
 use crate::roster::Member;
 use crate::time::Time;
 
-// A watcher that starts reads the store within this time: some twenty processes.
-const WATCHER_START: Duration = Duration::from_millis(500);
+// A starting watcher reads the store at a random time within this window. There are about twenty
+// watchers.
+const WATCHER_FIRST_READ_WINDOW: Duration = Duration::from_millis(500);
 
-// Any other process waits for peers first. When all restart, watchers have read and peers have handed
-// on by then; when peers have nothing either, 1,370 processes read over eight seconds.
-const START: [Duration; 2] = [Duration::from_secs(3), Duration::from_secs(11)];
+// The range from which any other process draws the delay of its first read of the store. After a
+// restart of all processes, watchers have read the store and peers have passed the version on by the
+// lower bound. If no peer has it either, the reads of 1,370 processes are spread over eight seconds.
+const FIRST_READ_DELAY: [Duration; 2] = [Duration::from_secs(3), Duration::from_secs(11)];
 
-// Peers that are tried for one version before the store is.
-const PEERS: u32 = 3;
+// Peers to try for a version before falling back to the store.
+const MAX_PEER_ATTEMPTS: u32 = 3;
 
-// After the first failure, doubled with each.
-const PAUSE: Duration = Duration::from_millis(200);
-const MAX_PAUSE: Duration = Duration::from_secs(5);
+// Backoff after the first failure. It doubles with each further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-// The store is asked by a process that is no watcher at most this often: 1,370 processes that are all
-// cut off from their peers make 137 reads of the root a second.
-const STORE_GAP: Duration = Duration::from_secs(10);
+// The minimum interval between two reads of the store by one process. 1,370 processes that are all
+// partitioned from their peers make 137 reads of the root a second.
+const MIN_STORE_INTERVAL: Duration = Duration::from_secs(10);
 
-// A process that heard of nothing new for this long looks at the root all the same: should gossip
-// and all watchers fail together, a change is late by this much and not lost. 1,370 processes make
-// eight reads a second.
-const LOOK: Duration = Duration::from_secs(180);
+// A process reads the root after this long without news, so that a change is delayed by this much
+// but not missed if gossip and all watchers fail together. 1,370 processes make eight reads a second.
+const POLL_INTERVAL: Duration = Duration::from_secs(180);
 
-/// Where to get a version from.
+/// The source to pull a version from.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Pull {
-    /// From a process that has it in force.
+    /// A process that has applied the version.
     Peer(Member),
-    /// From the store.
+    /// The configuration store.
     Store,
 }
 
-/// What the process knows.
+/// The state of the process on which the choice of a pull depends.
 #[derive(Clone, Copy, Debug)]
 pub struct SpreadView<'a> {
-    /// The version in force here.
+    /// The version that this process has applied.
     pub own: Option<&'a ConfigMark>,
-    /// The newest version heard of.
+    /// The newest version known from gossip.
     pub seen: Option<&'a ConfigSeen>,
-    /// Whether this process watches the store, and so needs no reading of its own but at the start.
+    /// Whether this process watches the store. A watcher needs no read of its own except at startup.
     pub watcher: bool,
 }
 
-/// The pulls of one process.
+/// Schedules the configuration pulls of one process.
 #[derive(Debug)]
 pub struct Spread {
     region: Name,
     zone: Name,
-    start_store: Time,
-    next_store: Time,
-    next_look: Time,
-    not_before: Time,
+    first_store_read: Time,
+    next_store_read: Time,
+    next_poll: Time,
+    retry_at: Time,
     failures: u32,
-    // Peers tried for the version in `wanted`.
+    // Peers already tried for the version in `target`.
     tried: Vec<Name>,
-    wanted: Option<ConfigMark>,
-    busy: bool,
-    drawn: f64,
+    target: Option<ConfigMark>,
+    in_progress: bool,
+    jitter: f64,
 }
 
 impl Spread {
-    /// The pulls of a process that starts now in the given place.
+    /// Creates the schedule of a process that starts now in the given region and zone.
     pub fn new(now: Time, region: Name, zone: Name, rng: &mut fastrand::Rng) -> Self {
-        let drawn = rng.f64();
+        let jitter = rng.f64();
         Spread {
             region,
             zone,
-            start_store: now + START[0] + (START[1] - START[0]).mul_f64(drawn),
-            next_store: now + WATCHER_START.mul_f64(drawn),
-            next_look: now + LOOK.mul_f64(0.5 + rng.f64()),
-            not_before: now,
+            first_store_read: now
+                + FIRST_READ_DELAY[0]
+                + (FIRST_READ_DELAY[1] - FIRST_READ_DELAY[0]).mul_f64(jitter),
+            next_store_read: now + WATCHER_FIRST_READ_WINDOW.mul_f64(jitter),
+            next_poll: now + POLL_INTERVAL.mul_f64(0.5 + rng.f64()),
+            retry_at: now,
             failures: 0,
             tried: Vec::new(),
-            wanted: None,
-            busy: false,
-            drawn,
+            target: None,
+            in_progress: false,
+            jitter,
         }
     }
 
-    /// The pull to make now, if any. One at a time.
+    /// Returns the pull to perform now, if any. Only one pull is in progress at a time.
     pub fn next(&mut self, now: Time, view: SpreadView, rng: &mut fastrand::Rng) -> Option<Pull> {
-        if self.busy || now < self.not_before {
+        if self.in_progress || now < self.retry_at {
             return None;
         }
-        let pull = self.choose(now, view, rng)?;
-        self.busy = true;
+        let pull = self.select(now, view, rng)?;
+        self.in_progress = true;
         match &pull {
             Pull::Peer(member) => self.tried.push(member.name.clone()),
             Pull::Store => {
-                self.next_store = now + STORE_GAP.mul_f64(0.8 + 0.4 * rng.f64());
-                self.next_look = now + LOOK.mul_f64(0.5 + rng.f64());
+                self.next_store_read = now + MIN_STORE_INTERVAL.mul_f64(0.8 + 0.4 * rng.f64());
+                self.next_poll = now + POLL_INTERVAL.mul_f64(0.5 + rng.f64());
             }
         }
         Some(pull)
     }
 
-    /// The last pull is over. `succeeded` tells whether it brought what was wanted, or, from the
-    /// store, an answer.
+    /// Records the result of the last pull. `succeeded` is true if a peer returned the requested
+    /// version, or if the store answered.
     pub fn done(&mut self, now: Time, succeeded: bool, rng: &mut fastrand::Rng) {
-        self.busy = false;
+        self.in_progress = false;
         if succeeded {
             self.failures = 0;
             self.tried.clear();
-            self.not_before = now;
+            self.retry_at = now;
             return;
         }
-        let pause = PAUSE * 2_u32.saturating_pow(self.failures.min(8));
+        let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(self.failures.min(8));
         self.failures += 1;
-        self.not_before = now + pause.min(MAX_PAUSE).mul_f64(0.5 + rng.f64());
+        self.retry_at = now + backoff.min(MAX_BACKOFF).mul_f64(0.5 + rng.f64());
     }
 
-    /// A watch has told this process of the root, so that there is no need to look.
+    /// Postpones the next poll because a watch has just returned the root.
     pub fn watched(&mut self, now: Time) {
-        self.next_look = now + LOOK.mul_f64(0.5 + self.drawn);
+        self.next_poll = now + POLL_INTERVAL.mul_f64(0.5 + self.jitter);
     }
 
-    fn choose(&mut self, now: Time, view: SpreadView, rng: &mut fastrand::Rng) -> Option<Pull> {
+    fn select(&mut self, now: Time, view: SpreadView, rng: &mut fastrand::Rng) -> Option<Pull> {
         let own = view.own.map(|mark| mark.version);
         let newer = view.seen.filter(|seen| Some(seen.mark.version) > own);
         if let Some(seen) = newer {
-            if self.wanted.as_ref() != Some(&seen.mark) {
-                self.wanted = Some(seen.mark.clone());
+            if self.target.as_ref() != Some(&seen.mark) {
+                self.target = Some(seen.mark.clone());
                 self.tried.clear();
             }
-            if let Some(peer) = self.peer(seen, rng) {
+            if let Some(peer) = self.select_peer(seen, rng) {
                 return Some(Pull::Peer(peer));
             }
-            // All who have it have been tried: the store, and then the same peers again.
-            let allowed = now >= self.next_store;
+            // All peers that have the version were tried: fall back to the store, then retry them.
+            let allowed = now >= self.next_store_read;
             self.tried.clear();
             return allowed.then_some(Pull::Store);
         }
-        let start = view.own.is_none() && (view.watcher || now >= self.start_store);
-        let look = now >= self.next_look;
-        ((start || look) && now >= self.next_store).then_some(Pull::Store)
+        let first_read = view.own.is_none() && (view.watcher || now >= self.first_store_read);
+        let poll_due = now >= self.next_poll;
+        ((first_read || poll_due) && now >= self.next_store_read).then_some(Pull::Store)
     }
 
-    // One who has the version and was not tried: a near one, and of these any.
-    fn peer(&self, seen: &ConfigSeen, rng: &mut fastrand::Rng) -> Option<Member> {
-        if self.tried.len() >= PEERS as usize {
+    // Returns a random peer among the nearest ones that have the version and were not tried yet.
+    fn select_peer(&self, seen: &ConfigSeen, rng: &mut fastrand::Rng) -> Option<Member> {
+        if self.tried.len() >= MAX_PEER_ATTEMPTS as usize {
             return None;
         }
         let untried = |member: &&Member| !self.tried.contains(&member.name);
--- a/lib/src/subset.rs
+++ b/lib/src/subset.rs
@@ -1,9 +1,10 @@
-//! The servers that one entry sends to, for each service and model, and the order for keyed calls.
+//! Selects the subset of servers that one entry sends to, for each service and model, and the server
+//! order for keyed calls.
 //!
-//! Load pattern: hundreds of entries before a thousand replicas. Without subsets each entry would hold
-//! a connection to each replica and weigh each for every request. Subsets are drawn by rendezvous
-//! hashing with the entry's name, so that they need no agreement, and a server that leaves changes
-//! only the subsets that it was in.
+//! Load pattern: hundreds of entries in front of a thousand replicas. Without subsetting, each entry
+//! would hold a connection to each replica and compare all of them for every request. Subsets are
+//! computed by rendezvous hashing with the entry's name: they need no coordination, and a server that
+//! leaves changes only the subsets that contained it.
 
 use std::collections::HashMap;
 
@@ -11,14 +12,15 @@
 use crate::rendezvous::mix;
 use crate::routing::ServerKey;
 
-/// Keys are first mapped to this many slots, and each slot's order of servers is worked out once.
-/// Enough that the servers of a plain service have equal parts within a few per cent.
-const SLOTS: u64 = 1024;
+/// The number of slots that keys are hashed to. The server order is computed once for each slot. With
+/// this many slots, the shares of a plain service's servers differ by a few per cent at most.
+const HASH_SLOTS: u64 = 1024;
 
-/// Servers kept in order for each slot; beyond them a keyed call goes by load.
-const ORDER: usize = 8;
+/// The length of a slot's server order. When none of these servers is usable, a keyed call is routed
+/// by load.
+const MAX_KEYED_ORDER: usize = 8;
 
-/// A server as a pool sees it.
+/// The properties of a server that a pool depends on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Member<'a> {
     pub(crate) key: ServerKey,
@@ -27,25 +29,26 @@
     pub(crate) ready: bool,
 }
 
-/// The subset within one region.
+/// The subset of servers in one remote region.
 #[derive(Debug)]
 pub(crate) struct RegionPool {
     pub(crate) region: Name,
-    // Ready servers only.
+    // Contains only ready servers.
     pub(crate) servers: Vec<ServerKey>,
 }
 
-/// The servers for one model of a service.
+/// The servers that serve one model of a service.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     pub(crate) local: Vec<ServerKey>,
     pub(crate) remote: Vec<RegionPool>,
-    // Every member that is not gone, with its hash: the keyed order must not change with readiness.
+    // Every member that is not gone, with its hash. Members that are not ready are included, since the
+    // keyed order must not change with readiness.
     members: Vec<(ServerKey, u64)>,
-    orders: HashMap<u64, Vec<ServerKey>>,
+    keyed_orders: HashMap<u64, Vec<ServerKey>>,
 }
 
-/// Sizes and place of an entry's subsets.
+/// Parameters of an entry's subsets: the hash of its name, its region and the subset sizes.
 #[derive(Debug)]
 pub(crate) struct SubsetRule {
     pub(crate) entry: u64,
@@ -58,9 +61,9 @@
     pub(crate) fn new(rule: &SubsetRule, members: &[Member<'_>]) -> Self {
         let mut regions: HashMap<&Name, Vec<(u64, ServerKey)>> = HashMap::new();
         for member in members.iter().filter(|m| m.ready) {
-            let rank = mix(member.hash ^ rule.entry);
+            let score = mix(member.hash ^ rule.entry);
             let region = regions.entry(member.region).or_default();
-            region.push((rank, member.key));
+            region.push((score, member.key));
         }
         let mut pool = Pool {
             members: members.iter().map(|m| (m.key, m.hash)).collect(),
@@ -68,29 +71,29 @@
         };
         for (region, ranked) in regions {
             if *region == rule.region {
-                pool.local = highest(ranked, rule.local);
+                pool.local = top_ranked(ranked, rule.local);
             } else {
                 pool.remote.push(RegionPool {
                     region: region.clone(),
-                    servers: highest(ranked, rule.remote),
+                    servers: top_ranked(ranked, rule.remote),
                 });
             }
         }
-        // The map's order differs from run to run; a choice must not.
+        // The iteration order of the map is random, but a choice must be reproducible.
         pool.remote.sort_by(|a, b| a.region.cmp(&b.region));
         pool
     }
 
-    /// The servers for a key, first choice first. Every entry has the same order.
+    /// Returns the servers for a key in order of preference. The order is the same at every entry.
     pub(crate) fn order(&mut self, affinity: u64) -> &[ServerKey] {
-        let slot = mix(affinity) % SLOTS;
+        let slot = mix(affinity) % HASH_SLOTS;
         let members = &self.members;
-        self.orders
+        self.keyed_orders
             .entry(slot)
-            .or_insert_with(|| rendezvous(members, slot))
+            .or_insert_with(|| rank_for_slot(members, slot))
     }
 
-    /// Whether the server is among those that this entry sends to.
+    /// Returns whether the server belongs to this entry's subsets.
     pub(crate) fn holds(&self, server: ServerKey) -> bool {
         let mut remote = self.remote.iter();
         self.local.contains(&server) || remote.any(|r| r.servers.contains(&server))
@@ -101,13 +104,13 @@
     }
 }
 
-fn rendezvous(members: &[(ServerKey, u64)], slot: u64) -> Vec<ServerKey> {
+fn rank_for_slot(members: &[(ServerKey, u64)], slot: u64) -> Vec<ServerKey> {
     let salt = mix(slot + 1);
     let ranked = members.iter().map(|(key, hash)| (mix(hash ^ salt), *key));
-    highest(ranked.collect(), ORDER)
+    top_ranked(ranked.collect(), MAX_KEYED_ORDER)
 }
 
-fn highest(mut ranked: Vec<(u64, ServerKey)>, count: usize) -> Vec<ServerKey> {
+fn top_ranked(mut ranked: Vec<(u64, ServerKey)>, count: usize) -> Vec<ServerKey> {
     ranked.sort_unstable_by(|a, b| b.cmp(a));
     ranked.truncate(count);
     ranked.into_iter().map(|(_, key)| key).collect()
--- a/lib/src/zone_cost.rs
+++ b/lib/src/zone_cost.rs
@@ -1,12 +1,13 @@
-//! What the way to another availability zone or region costs, in time and in bytes.
+//! The cost of routing a request to another availability zone or region, in latency and in bytes.
 //!
-//! Load pattern: one region is fuller than another, or is lost. Without a cost, requests would cross
-//! the slow and paid links for every small difference of load, and every first token would come a
-//! round trip later. Without a byte budget, a full region would make its neighbours pay for its links
-//! without bound.
+//! Load pattern: one region is more loaded than another, or is lost. Without a cost, requests would
+//! take the slow, metered links between regions for every small difference in load, and each first
+//! token would arrive a round trip later. Without a byte budget, the cost of an overloaded region's
+//! cross-region traffic would be unbounded.
 //!
-//! A budget bounds only crossings by choice. Where the own region has no server left, the request
-//! crosses nevertheless, since an answer is worth more than a link's bytes; such bytes are counted.
+//! The budget limits only cross-region requests that have an alternative. When the local region has no
+//! usable server, the request is sent to another region regardless, since an answer is worth more than
+//! the bytes on a link; these bytes are charged to the budget as well.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,36 +16,39 @@
 use crate::routing::ServerView;
 use crate::time::Time;
 
-/// A round trip between availability zones of one region: 1.5 ms each way at Hanshan.
+/// The round trip between availability zones of one region: 1.5 ms each way at Hanshan.
 pub const ZONE_TRIP: Duration = Duration::from_millis(3);
 
-/// A round trip between regions: 30 ms each way at both deployments.
+/// The round trip between regions: 30 ms each way at both deployments.
 pub const REGION_TRIP: Duration = Duration::from_millis(60);
 
-/// What a crossing must gain beyond its round trip. The hysteresis of the choice of region: two
-/// regions whose waits differ by less do not exchange work.
+/// The wait that a cross-region request must save in addition to its round trip. This is the
+/// hysteresis of the choice of region: regions whose waits differ by less do not exchange work.
 pub const CROSSING_MARGIN: Duration = Duration::from_millis(100);
 
-/// The part by which a wait in another region counts more. The hysteresis where both regions are full:
-/// their waits of seconds then differ by chance by more than the margin.
+/// The share by which a wait in another region is weighted up. This is the hysteresis when both
+/// regions are overloaded: their waits are then seconds long and differ by more than the margin by
+/// chance.
 pub const CROSSING_PART: f64 = 0.25;
 
-/// Bytes a second for each link to another region, 1 MB/s: about 200 streams of 41 ms between tokens
-/// at 200 bytes an event.
+/// The byte budget of each link to another region, 1 MB/s: about 200 streams with 41 ms between tokens
+/// and 200 bytes an event.
 pub const LINK_BYTES: u64 = 1_000_000;
 
-/// Seconds of a link's budget that may be saved up, so that a burst of some seconds may cross.
-const SAVED_SECONDS: f64 = 5.0;
+/// The capacity of a link's budget, in seconds of its rate, so that a burst of a few seconds may be
+/// sent over the link.
+const BURST_SECONDS: f64 = 5.0;
 
-/// Bytes on the link for each expected token, event framing included, until the end tells.
-const TOKEN_BYTES: f64 = 64.0;
+/// The estimated bytes on the link for each expected token, including event framing. The actual bytes
+/// are known when the request ends.
+const BYTES_PER_TOKEN: f64 = 64.0;
 
-/// Costs of the way to other zones and regions.
+/// Latency and byte costs of routing to other zones and regions.
 #[derive(Clone, Debug)]
 pub struct CostSettings {
-    zone_trip: Duration,
-    region_trip: Duration,
-    trips: HashMap<Name, Duration>,
+    zone_round_trip: Duration,
+    region_round_trip: Duration,
+    region_round_trips: HashMap<Name, Duration>,
     margin: Duration,
     link_bytes: u64,
 }
@@ -56,63 +60,63 @@
 }
 
 impl CostSettings {
-    /// The defaults.
+    /// Returns the default costs.
     pub fn new() -> Self {
         CostSettings {
-            zone_trip: ZONE_TRIP,
-            region_trip: REGION_TRIP,
-            trips: HashMap::new(),
+            zone_round_trip: ZONE_TRIP,
+            region_round_trip: REGION_TRIP,
+            region_round_trips: HashMap::new(),
             margin: CROSSING_MARGIN,
             link_bytes: LINK_BYTES,
         }
     }
 
-    /// The round trip to another zone of the own region.
-    pub fn with_zone_trip(mut self, trip: Duration) -> Self {
-        self.zone_trip = trip;
+    /// Sets the round trip to another zone of the local region.
+    pub fn with_zone_trip(mut self, round_trip: Duration) -> Self {
+        self.zone_round_trip = round_trip;
         self
     }
 
-    /// The round trip from the own region to `region`.
-    pub fn with_region_trip(mut self, region: Name, trip: Duration) -> Self {
-        self.trips.insert(region, trip);
+    /// Sets the round trip from the local region to `region`.
+    pub fn with_region_trip(mut self, region: Name, round_trip: Duration) -> Self {
+        self.region_round_trips.insert(region, round_trip);
         self
     }
 
-    /// What a crossing must gain beyond its round trip.
+    /// Sets the wait that a cross-region request must save in addition to its round trip.
     pub fn with_margin(mut self, margin: Duration) -> Self {
         self.margin = margin;
         self
     }
 
-    /// The part by which a wait in another region counts more. The hysteresis where both regions are full:
-    /// their waits of seconds then differ by chance by more than the margin.
+    /// The share by which a wait in another region is weighted up.
     pub const CROSSING_PART: f64 = 0.25;
 
-    /// Bytes a second for each link to another region.
+    /// Sets the budget of each link to another region, in bytes per second.
     pub fn with_link_bytes(mut self, bytes: u64) -> Self {
         self.link_bytes = bytes;
         self
     }
 }
 
+/// The byte budget of a link to another region: a token bucket.
 #[derive(Debug, Default)]
-struct Link {
-    // Never above `SAVED_SECONDS` of the budget; below zero after a crossing without choice.
-    bytes: f64,
-    filled: Time,
-    // Bytes that the open requests are expected to carry, and their number.
-    reserved: f64,
-    open: u32,
+struct LinkBudget {
+    // At most `BURST_SECONDS` of the rate. Negative after a request that had no alternative.
+    available_bytes: f64,
+    refilled_at: Time,
+    // The bytes that the open requests are expected to transfer, and the number of these requests.
+    reserved_bytes: f64,
+    open_requests: u32,
 }
 
-/// The costs as seen from one entry.
+/// The routing costs as seen from one entry.
 #[derive(Debug)]
 pub(crate) struct ZoneCost {
     settings: CostSettings,
     region: Name,
     zone: Name,
-    links: HashMap<Name, Link>,
+    links: HashMap<Name, LinkBudget>,
 }
 
 impl ZoneCost {
@@ -125,76 +129,79 @@
         }
     }
 
-    /// Whether the server is in the own region.
+    /// Returns whether the server is in the local region.
     pub(crate) fn is_local(&self, view: &ServerView) -> bool {
         view.region == self.region
     }
 
-    /// The round trip to the server.
+    /// Returns the round trip to the server.
     pub(crate) fn trip(&self, view: &ServerView) -> Duration {
         if !self.is_local(view) {
-            let trip = self.settings.trips.get(&view.region);
-            return trip.copied().unwrap_or(self.settings.region_trip);
+            let round_trip = self.settings.region_round_trips.get(&view.region);
+            return round_trip
+                .copied()
+                .unwrap_or(self.settings.region_round_trip);
         }
         if view.zone == self.zone {
             Duration::ZERO
         } else {
-            self.settings.zone_trip
+            self.settings.zone_round_trip
         }
     }
 
-    /// Microseconds: the round trip, and for a crossing the margin and a part of the wait there.
+    /// Returns the cost in microseconds: the round trip, and for a server in another region also the
+    /// margin and a share of the wait there.
     pub(crate) fn distance(&self, view: &ServerView, wait: f64) -> f64 {
-        let trip = self.trip(view).as_micros() as f64;
+        let round_trip = self.trip(view).as_micros() as f64;
         if self.is_local(view) {
-            trip
+            round_trip
         } else {
-            trip + self.settings.margin.as_micros() as f64 + wait * CROSSING_PART
+            round_trip + self.settings.margin.as_micros() as f64 + wait * CROSSING_PART
         }
     }
 
-    /// Whether the link to `region` has bytes left, beyond what open requests will carry.
+    /// Returns whether the budget of the link to `region` exceeds what is reserved for open requests.
     pub(crate) fn has_budget(&self, now: Time, region: &Name) -> bool {
         let Some(link) = self.links.get(region) else {
             return self.settings.link_bytes > 0;
         };
-        self.level(now, link) > link.reserved
+        self.available(now, link) > link.reserved_bytes
     }
 
-    /// Reserves what a request is expected to carry.
+    /// Reserves the bytes that a request is expected to transfer.
     pub(crate) fn started(&mut self, now: Time, region: &Name, tokens: u32) {
-        let link = self.filled(now, region);
-        link.reserved += expected_bytes(tokens);
-        link.open += 1;
+        let link = self.refill(now, region);
+        link.reserved_bytes += expected_bytes(tokens);
+        link.open_requests += 1;
     }
 
-    /// Charges the bytes that were carried, and gives up one open request's reserve.
+    /// Charges the transferred bytes, and releases the reservation of one open request.
     pub(crate) fn finished(&mut self, now: Time, region: &Name, bytes: u64) {
-        let link = self.filled(now, region);
-        link.bytes -= bytes as f64;
-        link.reserved -= link.reserved / f64::from(link.open.max(1));
-        link.open = link.open.saturating_sub(1);
+        let link = self.refill(now, region);
+        link.available_bytes -= bytes as f64;
+        link.reserved_bytes -= link.reserved_bytes / f64::from(link.open_requests.max(1));
+        link.open_requests = link.open_requests.saturating_sub(1);
     }
 
-    fn filled(&mut self, now: Time, region: &Name) -> &mut Link {
-        let full = self.full();
-        let level = self.links.get(region).map(|link| self.level(now, link));
+    fn refill(&mut self, now: Time, region: &Name) -> &mut LinkBudget {
+        let capacity = self.capacity();
+        let available = self.links.get(region).map(|link| self.available(now, link));
         let link = self.links.entry(region.clone()).or_default();
-        link.bytes = level.unwrap_or(full);
-        link.filled = now;
+        link.available_bytes = available.unwrap_or(capacity);
+        link.refilled_at = now;
         link
     }
 
-    fn level(&self, now: Time, link: &Link) -> f64 {
-        let gained = now.since(link.filled).as_secs_f64() * self.settings.link_bytes as f64;
-        (link.bytes + gained).min(self.full())
+    fn available(&self, now: Time, link: &LinkBudget) -> f64 {
+        let refilled = now.since(link.refilled_at).as_secs_f64() * self.settings.link_bytes as f64;
+        (link.available_bytes + refilled).min(self.capacity())
     }
 
-    fn full(&self) -> f64 {
-        self.settings.link_bytes as f64 * SAVED_SECONDS
+    fn capacity(&self) -> f64 {
+        self.settings.link_bytes as f64 * BURST_SECONDS
     }
 }
 
 fn expected_bytes(tokens: u32) -> f64 {
-    f64::from(tokens) * TOKEN_BYTES
+    f64::from(tokens) * BYTES_PER_TOKEN
 }
