--- a/lib/src/ejection.rs
+++ b/lib/src/ejection.rs
@@ -1,15 +1,16 @@
-//! Which servers are left out for being far slower than their peers, or failing more often.
+//! Outlier ejection: excludes servers that are much slower than their peers or fail more often.
 //!
 //! Load pattern: one accelerator throttles or one host swaps, and every request sent there takes many
-//! times as long, while the others are well. Without ejection, each such server keeps its part of the
-//! callers slow for as long as it reports itself idle.
+//! times as long, while the other servers are healthy. Without ejection, such a server slows down its
+//! share of the callers for as long as it reports itself idle.
 //!
-//! The evidence is relative: a server is compared with the median of its peers over the same time. So
-//! when all are slow none is ejected, since that is load and not a fault, and taking servers away
-//! would make it worse. At most a share of the servers is out at a time.
+//! A server is compared with the median of its peers over the same time. When all servers are slow,
+//! none is ejected, since the cause is load rather than a fault, and removing servers would make it
+//! worse. The share of servers that are ejected at a time is bounded.
 //!
-//! Delay: [`EVIDENCE`] requests and at most one [`SWEEP`]. Hysteresis: the stay outside doubles with
-//! each ejection in a row, the old evidence is forgotten, and the return is a slow start.
+//! Delay: [`MIN_SAMPLES`] requests and at most one [`SWEEP_INTERVAL`]. Hysteresis: the ejection time
+//! doubles with each consecutive ejection, earlier samples are discarded, and a readmitted server goes
+//! through a slow start.
 
 use std::time::Duration;
 
@@ -18,47 +19,49 @@
 use crate::routing::ServerKey;
 use crate::time::Time;
 
-/// A server is out when its requests take this many times the peers' median. Contention and mixes of
-/// lengths reach 2 in the trials; a throttled accelerator reaches 4 and more.
+/// A server is ejected when its requests take this many times the median of its peers. In trials,
+/// contention and mixed lengths reached 2; a throttled accelerator reaches 4 and more.
 pub const SLOW_FACTOR: f64 = 3.0;
 
-/// A server is out when it fails this share of its requests, and the peers' median is under a third
-/// of it.
-pub const FAILED_SHARE: f64 = 0.5;
+/// A server is ejected when it fails this share of its requests and the median of its peers is less
+/// than a third of its own failure rate.
+pub const FAILURE_RATE_THRESHOLD: f64 = 0.5;
 
-/// The largest share of a service's servers that is out at a time. One of three and more may always
-/// be out.
+/// The largest share of a service's servers that may be ejected at a time. With three or more servers,
+/// one may always be ejected.
 pub const EJECTED_SHARE: f64 = 0.2;
 
-/// Requests that must have ended, or reports come, before a server is judged: with fewer, a few long
-/// outputs in a row look like slowness.
-pub const EVIDENCE: u32 = 16;
+/// The number of completed requests or received reports required before a server is compared. With
+/// fewer, a few long outputs in a row look like slowness.
+pub const MIN_SAMPLES: u32 = 16;
 
-/// How often servers are compared.
-pub const SWEEP: Duration = Duration::from_secs(1);
+/// The interval between two comparisons of the servers.
+pub const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The first stay outside. It doubles up to [`LONGEST_STAY`].
+/// How long the first ejection lasts. The time doubles with each further one, up to
+/// [`MAX_EJECTION_TIME`].
 pub const FIRST_STAY: Duration = Duration::from_secs(10);
 
-/// The longest stay outside.
-pub const LONGEST_STAY: Duration = Duration::from_secs(160);
+/// The longest ejection.
+pub const MAX_EJECTION_TIME: Duration = Duration::from_secs(160);
 
-/// The time in which a server that returns, or is new, comes to its full part.
+/// The time over which the load of a readmitted or new server is raised to its full share.
 pub const SLOW_START: Duration = Duration::from_secs(10);
 
-/// The part with which a slow start begins.
-const FIRST_PART: f64 = 0.1;
+/// The share of its full load with which a server's slow start begins.
+const SLOW_START_MIN_SHARE: f64 = 0.1;
 
-/// The weight of a new figure: the mean reaches back over about ten requests.
-const NEW_WEIGHT: f64 = 0.1;
+/// The weight of a new sample in the moving averages, which cover about ten requests.
+const EWMA_WEIGHT: f64 = 0.1;
 
-/// Evidence older than this is not used.
-const EVIDENCE_AGE: Duration = Duration::from_secs(60);
+/// A server without samples for this long is not compared.
+const MAX_SAMPLE_AGE: Duration = Duration::from_secs(60);
 
-/// The fewest servers that can be compared: of two, no one can tell which is the odd one.
-const FEWEST: usize = 3;
+/// The smallest number of servers that can be compared: with two, it is unknown which one is the
+/// outlier.
+const MIN_SERVERS: usize = 3;
 
-/// When slow or failing servers are left out.
+/// Settings of outlier ejection.
 #[derive(Clone, Debug)]
 pub struct EjectionSettings {
     factor: f64,
@@ -73,7 +76,7 @@
 }
 
 impl EjectionSettings {
-    /// The defaults.
+    /// Returns the default settings.
     pub fn new() -> Self {
         EjectionSettings {
             factor: SLOW_FACTOR,
@@ -82,163 +85,170 @@
         }
     }
 
-    /// Times the peers' median that counts as slow, 1.5 to 100.
+    /// Sets the multiple of the peers' median that counts as slow, 1.5 to 100.
     pub fn with_factor(mut self, factor: f64) -> Self {
         self.factor = factor.clamp(1.5, 100.0);
         self
     }
 
-    /// The largest share that is out at a time, 0 (none, ever) to 0.5.
+    /// Sets the largest share of servers that may be ejected at a time, 0 (never eject) to 0.5.
     pub fn with_share(mut self, share: f64) -> Self {
         self.share = share.clamp(0.0, 0.5);
         self
     }
 
-    /// The time in which a returning server comes to its full part, at most 10 minutes.
+    /// Sets the duration of the slow start, at most 10 minutes.
     pub fn with_slow_start(mut self, time: Duration) -> Self {
         self.slow_start = time.min(Duration::from_secs(600));
         self
     }
 }
 
-/// A mean of logarithms: one long output weighs little.
+/// A moving average of logarithms, in which a single long output has little weight.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tempo {
+struct LogMean {
     mean: f64,
     samples: u32,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Record {
-    // The time for each token or call, as seen by this entry.
-    pace: Tempo,
-    // The time between tokens, as the agent reports it.
-    gap: Tempo,
-    // The mean of failures, 0 to 1.
-    failed: f64,
+struct ServerStats {
+    // The time per token, or per call of a plain service, as measured by this entry.
+    time_per_token: LogMean,
+    // The time between tokens, as reported by the agent.
+    token_gap: LogMean,
+    // The moving average of failures, 0 to 1.
+    failure_rate: f64,
     samples: u32,
     updated: Time,
-    // Ejections in a row.
-    strikes: u32,
-    ejected: Option<Stay>,
-    // The beginning of the slow start, if one is under way.
-    returned: Option<Time>,
+    consecutive_ejections: u32,
+    ejection: Option<Ejection>,
+    // The beginning of the last slow start, if there was one.
+    slow_start_from: Option<Time>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Stay {
-    from: Time,
+struct Ejection {
+    since: Time,
     until: Time,
 }
 
-/// The ejections among the servers of one service, as seen by one entry.
+/// Decides which servers of one service are ejected, as seen by one entry.
 #[derive(Debug)]
 pub struct Ejector {
     settings: EjectionSettings,
-    records: SecondaryMap<ServerKey, Record>,
-    swept: Time,
-    out: usize,
+    servers: SecondaryMap<ServerKey, ServerStats>,
+    last_sweep: Time,
+    ejected_count: usize,
 }
 
 impl Ejector {
-    /// No server known.
+    /// Creates an ejector without servers.
     pub fn new(settings: EjectionSettings) -> Self {
         Ejector {
             settings,
-            records: SecondaryMap::new(),
-            swept: Time::ZERO,
-            out: 0,
+            servers: SecondaryMap::new(),
+            last_sweep: Time::ZERO,
+            ejected_count: 0,
         }
     }
 
-    /// A server joined. One that joins a service that already runs starts slowly.
+    /// Adds a server. With `slowly`, as for a server that joins a running service, it goes through a
+    /// slow start.
     pub fn joined(&mut self, now: Time, server: ServerKey, slowly: bool) {
-        let record = Record {
-            returned: slowly.then_some(now),
-            ..Record::default()
+        let stats = ServerStats {
+            slow_start_from: slowly.then_some(now),
+            ..ServerStats::default()
         };
-        self.records.insert(server, record);
+        self.servers.insert(server, stats);
     }
 
-    /// A server left.
+    /// Removes a server.
     pub fn left(&mut self, server: ServerKey) {
-        let record = self.records.remove(server);
-        if record.is_some_and(|r| r.ejected.is_some()) {
-            self.out -= 1;
+        let stats = self.servers.remove(server);
+        if stats.is_some_and(|s| s.ejection.is_some()) {
+            self.ejected_count -= 1;
         }
     }
 
-    /// A request ended well. `pace` is its time for each token, or for the whole call.
+    /// Records that a request succeeded. `pace` is its time per token, or the time of the whole call.
     pub fn ended(&mut self, now: Time, server: ServerKey, pace: Duration) {
-        let Some(record) = self.record(now, server, 0.0) else {
+        let Some(stats) = self.count_request(now, server, 0.0) else {
             return;
         };
-        record.pace.add(pace);
+        stats.time_per_token.add(pace);
     }
 
-    /// The server's agent reported the time between tokens of a busy server. This comes also from
-    /// servers that this entry gives little to, which is soon the case of a slow one.
-    pub fn reported(&mut self, now: Time, server: ServerKey, gap: Duration) {
-        let record = self.records.get_mut(server);
-        if let Some(record) = record.filter(|r| r.ejected.is_none()) {
-            record.gap.add(gap);
-            record.updated = now;
+    /// Records the time between tokens that the agent of a busy server reported. Reports also cover
+    /// servers to which this entry sends few requests, as soon happens with a slow one.
+    pub fn reported(&mut self, now: Time, server: ServerKey, token_gap: Duration) {
+        let stats = self.servers.get_mut(server);
+        if let Some(stats) = stats.filter(|s| s.ejection.is_none()) {
+            stats.token_gap.add(token_gap);
+            stats.updated = now;
         }
     }
 
-    /// A request failed there.
+    /// Records that a request failed.
     pub fn failed(&mut self, now: Time, server: ServerKey) {
-        self.record(now, server, 1.0);
+        self.count_request(now, server, 1.0);
     }
 
-    /// Counts a request that ended. What ends while the server is out began before.
-    fn record(&mut self, now: Time, server: ServerKey, failed: f64) -> Option<&mut Record> {
-        let record = self.records.get_mut(server)?;
-        if record.ejected.is_some() {
+    /// Counts a request that ended. Requests that end while the server is ejected were started before
+    /// the ejection and are ignored.
+    fn count_request(
+        &mut self,
+        now: Time,
+        server: ServerKey,
+        failed: f64,
+    ) -> Option<&mut ServerStats> {
+        let stats = self.servers.get_mut(server)?;
+        if stats.ejection.is_some() {
             return None;
         }
-        let weight = NEW_WEIGHT.max(1.0 / f64::from(record.samples + 1));
-        record.failed += (failed - record.failed) * weight;
-        record.samples = record.samples.saturating_add(1);
-        record.updated = now;
-        Some(record)
+        let weight = EWMA_WEIGHT.max(1.0 / f64::from(stats.samples + 1));
+        stats.failure_rate += (failed - stats.failure_rate) * weight;
+        stats.samples = stats.samples.saturating_add(1);
+        stats.updated = now;
+        Some(stats)
     }
 
-    /// Compares the servers if it is time to. `ready` says which may be given work at all. Takes
-    /// O(n log n) once for each [`SWEEP`].
+    /// Compares the servers if a sweep is due. `ready` lists the servers that accept work. Takes
+    /// O(n log n) once in each [`SWEEP_INTERVAL`].
     pub fn sweep(&mut self, now: Time, ready: &[ServerKey]) {
-        if now.since(self.swept) < SWEEP {
+        if now.since(self.last_sweep) < SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
-        self.readmit(now);
+        self.last_sweep = now;
+        self.readmit_expired(now);
         self.bound(now, ready.len());
-        self.eject(now, ready);
+        self.eject_outliers(now, ready);
     }
 
-    /// Brings servers back until no more are out than `ready` servers allow.
+    /// Readmits servers, longest ejected first, until the number of ejected servers is within the limit
+    /// for `ready` servers.
     pub fn bound(&mut self, now: Time, ready: usize) {
-        while self.out > self.most(ready) {
-            let stays = self.records.iter();
-            let oldest = stays
-                .filter_map(|(key, record)| Some((record.ejected?.from, key)))
+        while self.ejected_count > self.most(ready) {
+            let ejections = self.servers.iter();
+            let oldest = ejections
+                .filter_map(|(key, stats)| Some((stats.ejection?.since, key)))
                 .min();
             let Some((_, key)) = oldest else {
                 return;
             };
-            self.release(now, key);
+            self.readmit(now, key);
         }
     }
 
-    /// Whether the server is out.
+    /// Returns whether the server is ejected.
     pub fn is_ejected(&self, server: ServerKey) -> bool {
-        let record = self.records.get(server);
-        record.is_some_and(|r| r.ejected.is_some())
+        let stats = self.servers.get(server);
+        stats.is_some_and(|s| s.ejection.is_some())
     }
 
-    /// The part of its full load that the server should get, above 0 and up to 1.
+    /// Returns the share of its full load that the server should get, above 0 and up to 1.
     pub fn part(&self, now: Time, server: ServerKey) -> f64 {
-        let Some(from) = self.records.get(server).and_then(|r| r.returned) else {
+        let Some(from) = self.servers.get(server).and_then(|s| s.slow_start_from) else {
             return 1.0;
         };
         let whole = self.settings.slow_start.as_secs_f64();
@@ -246,162 +256,165 @@
             return 1.0;
         }
         let passed = now.since(from).as_secs_f64() / whole;
-        passed.clamp(FIRST_PART, 1.0)
+        passed.clamp(SLOW_START_MIN_SHARE, 1.0)
     }
 
-    /// Servers that are out.
+    /// Returns the number of ejected servers.
     pub fn ejected(&self) -> usize {
-        self.out
+        self.ejected_count
     }
 
-    /// The most servers that may be out of `ready`.
+    /// Returns how many of `ready` servers may be ejected at a time.
     pub fn most(&self, ready: usize) -> usize {
-        if ready < FEWEST || self.settings.share == 0.0 {
+        if ready < MIN_SERVERS || self.settings.share == 0.0 {
             return 0;
         }
         let share = (ready as f64 * self.settings.share).floor() as usize;
         share.max(1)
     }
 
-    fn readmit(&mut self, now: Time) {
-        let stays = self.records.iter();
-        let over: Vec<ServerKey> = stays
-            .filter(|(_, r)| r.ejected.is_some_and(|s| s.until <= now))
+    fn readmit_expired(&mut self, now: Time) {
+        let ejections = self.servers.iter();
+        let expired: Vec<ServerKey> = ejections
+            .filter(|(_, s)| s.ejection.is_some_and(|e| e.until <= now))
             .map(|(key, _)| key)
             .collect();
-        for key in over {
-            self.release(now, key);
+        for key in expired {
+            self.readmit(now, key);
         }
     }
 
-    fn release(&mut self, now: Time, server: ServerKey) {
-        let Some(record) = self.records.get_mut(server) else {
+    fn readmit(&mut self, now: Time, server: ServerKey) {
+        let Some(stats) = self.servers.get_mut(server) else {
             return;
         };
-        if record.ejected.take().is_some() {
-            self.out -= 1;
+        if stats.ejection.take().is_some() {
+            self.ejected_count -= 1;
         }
-        record.returned = Some(now);
-        record.samples = 0;
-        record.failed = 0.0;
-        record.pace = Tempo::default();
-        record.gap = Tempo::default();
+        stats.slow_start_from = Some(now);
+        stats.samples = 0;
+        stats.failure_rate = 0.0;
+        stats.time_per_token = LogMean::default();
+        stats.token_gap = LogMean::default();
     }
 
-    fn eject(&mut self, now: Time, ready: &[ServerKey]) {
-        let known: Vec<ServerKey> = ready
+    fn eject_outliers(&mut self, now: Time, ready: &[ServerKey]) {
+        let comparable: Vec<ServerKey> = ready
             .iter()
             .copied()
-            .filter(|key| self.is_known(now, *key))
+            .filter(|key| self.is_comparable(now, *key))
             .collect();
-        if known.len() < FEWEST {
+        if comparable.len() < MIN_SERVERS {
             return;
         }
-        let usual = Usual {
-            pace: self.median(&known, |r| r.pace.known()),
-            gap: self.median(&known, |r| r.gap.known()),
-            failed: self.median(&known, |r| Some(r.failed)),
+        let medians = Medians {
+            time_per_token: self.median(&comparable, |s| s.time_per_token.value()),
+            token_gap: self.median(&comparable, |s| s.token_gap.value()),
+            failure_rate: self.median(&comparable, |s| Some(s.failure_rate)),
         };
-        let mut odd: Vec<(f64, ServerKey)> = known
+        let mut outliers: Vec<(f64, ServerKey)> = comparable
             .iter()
-            .map(|key| (self.excess(*key, &usual), *key))
+            .map(|key| (self.excess(*key, &medians), *key))
             .filter(|(excess, _)| *excess > 0.0)
             .collect();
-        odd.sort_by(|a, b| b.0.total_cmp(&a.0));
-        self.forgive(now, &known);
-        let room = self.most(ready.len()).saturating_sub(self.out);
-        for (_, key) in odd.into_iter().take(room) {
-            self.put_out(now, key);
+        outliers.sort_by(|a, b| b.0.total_cmp(&a.0));
+        self.reset_backoff(now, &comparable);
+        let remaining = self.most(ready.len()).saturating_sub(self.ejected_count);
+        for (_, key) in outliers.into_iter().take(remaining) {
+            self.eject_server(now, key);
         }
     }
 
-    /// Forgets the earlier ejections of servers that have been back for the longest stay.
-    fn forgive(&mut self, now: Time, known: &[ServerKey]) {
-        for key in known {
-            let record = &mut self.records[*key];
-            if record
-                .returned
-                .is_some_and(|from| now.since(from) > LONGEST_STAY)
+    /// Resets the ejection backoff of servers that were readmitted more than the longest ejection time
+    /// ago.
+    fn reset_backoff(&mut self, now: Time, comparable: &[ServerKey]) {
+        for key in comparable {
+            let stats = &mut self.servers[*key];
+            if stats
+                .slow_start_from
+                .is_some_and(|from| now.since(from) > MAX_EJECTION_TIME)
             {
-                record.strikes = 0;
+                stats.consecutive_ejections = 0;
             }
         }
     }
 
-    /// The median of a figure over the servers that have it.
+    /// Returns the median of a statistic over the servers for which it is available.
     fn median(
         &self,
         servers: &[ServerKey],
-        figure: impl Fn(&Record) -> Option<f64>,
+        statistic: impl Fn(&ServerStats) -> Option<f64>,
     ) -> Option<f64> {
-        let figures = servers.iter().filter_map(|key| figure(&self.records[*key]));
-        let mut figures: Vec<f64> = figures.collect();
-        if figures.len() < FEWEST {
+        let values = servers
+            .iter()
+            .filter_map(|key| statistic(&self.servers[*key]));
+        let mut values: Vec<f64> = values.collect();
+        if values.len() < MIN_SERVERS {
             return None;
         }
-        figures.sort_by(f64::total_cmp);
-        figures.get((figures.len() - 1) / 2).copied()
+        values.sort_by(f64::total_cmp);
+        values.get((values.len() - 1) / 2).copied()
     }
 
-    /// How far the server is beyond the bound; zero or less within it.
-    fn excess(&self, server: ServerKey, usual: &Usual) -> f64 {
-        let record = &self.records[server];
-        let others = usual.failed.unwrap_or(0.0);
-        if record.samples >= EVIDENCE
-            && record.failed >= FAILED_SHARE
-            && others * 3.0 < record.failed
+    /// Returns how far the server exceeds the threshold, as a logarithm; zero or less if it does not.
+    fn excess(&self, server: ServerKey, medians: &Medians) -> f64 {
+        let stats = &self.servers[server];
+        let median_failure_rate = medians.failure_rate.unwrap_or(0.0);
+        if stats.samples >= MIN_SAMPLES
+            && stats.failure_rate >= FAILURE_RATE_THRESHOLD
+            && median_failure_rate * 3.0 < stats.failure_rate
         {
             return f64::MAX;
         }
-        let pace = beyond(record.pace.known(), usual.pace);
-        let gap = beyond(record.gap.known(), usual.gap);
-        pace.max(gap) - self.settings.factor.ln()
+        let time_per_token = log_ratio(stats.time_per_token.value(), medians.time_per_token);
+        let token_gap = log_ratio(stats.token_gap.value(), medians.token_gap);
+        time_per_token.max(token_gap) - self.settings.factor.ln()
     }
 
-    fn put_out(&mut self, now: Time, server: ServerKey) {
-        let record = &mut self.records[server];
-        let stay = FIRST_STAY * 2u32.saturating_pow(record.strikes.min(10));
-        record.ejected = Some(Stay {
-            from: now,
-            until: now + stay.min(LONGEST_STAY),
+    fn eject_server(&mut self, now: Time, server: ServerKey) {
+        let stats = &mut self.servers[server];
+        let ejection_time = FIRST_STAY * 2u32.saturating_pow(stats.consecutive_ejections.min(10));
+        stats.ejection = Some(Ejection {
+            since: now,
+            until: now + ejection_time.min(MAX_EJECTION_TIME),
         });
-        record.strikes = record.strikes.saturating_add(1);
-        self.out += 1;
+        stats.consecutive_ejections = stats.consecutive_ejections.saturating_add(1);
+        self.ejected_count += 1;
     }
 
-    fn is_known(&self, now: Time, server: ServerKey) -> bool {
-        self.records.get(server).is_some_and(|r| {
-            let samples = r.samples.max(r.gap.samples);
-            r.ejected.is_none() && samples >= EVIDENCE && now.since(r.updated) < EVIDENCE_AGE
+    fn is_comparable(&self, now: Time, server: ServerKey) -> bool {
+        self.servers.get(server).is_some_and(|s| {
+            let samples = s.samples.max(s.token_gap.samples);
+            s.ejection.is_none() && samples >= MIN_SAMPLES && now.since(s.updated) < MAX_SAMPLE_AGE
         })
     }
 }
 
-/// What is usual among the servers.
-struct Usual {
-    pace: Option<f64>,
-    gap: Option<f64>,
-    failed: Option<f64>,
+/// The medians over the compared servers.
+struct Medians {
+    time_per_token: Option<f64>,
+    token_gap: Option<f64>,
+    failure_rate: Option<f64>,
 }
 
-impl Tempo {
+impl LogMean {
     fn add(&mut self, time: Duration) {
-        let log = (time.as_micros().max(1) as f64).ln();
-        let weight = NEW_WEIGHT.max(1.0 / f64::from(self.samples + 1));
-        self.mean += (log - self.mean) * weight;
+        let log_micros = (time.as_micros().max(1) as f64).ln();
+        let weight = EWMA_WEIGHT.max(1.0 / f64::from(self.samples + 1));
+        self.mean += (log_micros - self.mean) * weight;
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// The mean, once there is enough evidence for it.
-    fn known(&self) -> Option<f64> {
-        (self.samples >= EVIDENCE).then_some(self.mean)
+    /// Returns the mean once there are enough samples.
+    fn value(&self) -> Option<f64> {
+        (self.samples >= MIN_SAMPLES).then_some(self.mean)
     }
 }
 
-/// The logarithm of how many times the usual figure the own one is.
-fn beyond(own: Option<f64>, usual: Option<f64>) -> f64 {
-    match (own, usual) {
-        (Some(own), Some(usual)) => own - usual,
+/// Returns the logarithm of the ratio of `own` to `median`. Both are logarithms already.
+fn log_ratio(own: Option<f64>, median: Option<f64>) -> f64 {
+    match (own, median) {
+        (Some(own), Some(median)) => own - median,
         _ => 0.0,
     }
 }
--- a/lib/src/lengths.rs
+++ b/lib/src/lengths.rs
@@ -1,20 +1,21 @@
-//! Output lengths as learned online, for each workspace and kind of request.
+//! Predicts output lengths, learned online for each workspace and kind of request.
 //!
-//! Load pattern: generations whose length nobody knows, short checks and long drafts under one
-//! name. Without an expectation, either memory is left empty to be safe, or the engine's memory
-//! fills up in the midst of decoding and it displaces generations blindly.
+//! Load pattern: generations of unknown length: short checks and long drafts come under the same name.
+//! Without a prediction, either memory is left unused to be safe, or the engine's memory fills up
+//! during decoding and the engine preempts generations arbitrarily.
 //!
-//! Lengths are counted in buckets a fifth apart, so one sketch takes 64 words for any range. Newer
-//! observations weigh more: a sketch forgets half of its past in `HALF_LIFE` observations, and at
-//! once when the recent mean leaves the range that the past makes likely (drift). A workspace with
-//! few observations is filled up from all workspaces' lengths of that kind, and these from a
-//! cold-start rule: every order of magnitude up to the caller's limit is equally likely.
+//! Lengths are counted in logarithmic buckets about a fifth apart, so that a histogram takes 64 words
+//! for any range. Recent observations weigh more: the weight of past observations halves with every
+//! `HALF_LIFE` new ones, and drops at once on drift, when the recent mean leaves the range that the
+//! past makes likely. For a workspace with few observations, the lengths of all workspaces for that
+//! kind serve as the prior. Their own prior, for a cold start, is that every order of magnitude up to
+//! the caller's limit is equally likely.
 //!
-//! A kind is split by the caller's limit on tokens, in powers of four, since callers who ask for
-//! short answers name short limits.
+//! A kind is split by the caller's token limit, in powers of four, since callers who expect short
+//! answers set low limits.
 //!
-//! One observation is O(1), one expectation is one pass over 64 buckets. Memory is bounded by
-//! `MAX_SKETCHES`.
+//! An observation takes O(1), an estimate one pass over 64 buckets. Memory is bounded by
+//! `MAX_HISTOGRAMS`.
 
 use std::collections::HashMap;
 
@@ -22,231 +23,243 @@
 
 const BUCKETS: usize = 64;
 
-/// Observations after which half of a sketch's weight is new. Fewer follow drift sooner but leave
-/// the tail to chance: the 90th percentile then rests on six observations.
+/// The number of observations after which the weight of earlier ones has halved. A smaller number
+/// follows drift sooner but leaves the tail to chance: the 90th percentile then rests on six
+/// observations.
 const HALF_LIFE: f64 = 64.0;
 
-/// Observations that the next wider level counts for. With eight of its own, a workspace is judged
-/// by itself and by the others alike.
-const PARENT_WEIGHT: f64 = 8.0;
+/// The weight, in observations, of all workspaces' lengths as the prior of one workspace. A workspace
+/// with eight observations of its own is estimated from these and from the prior in equal parts.
+const PRIOR_WEIGHT: f64 = 8.0;
 
-/// Sketches kept, about 300 bytes each: 5,100 workspaces with a kind or two in use on one backend
-/// server at a time. The least lately used make room.
-const MAX_SKETCHES: usize = 8_192;
+/// The number of histograms kept, about 300 bytes each: enough for 5,100 workspaces with one or two
+/// kinds in use on one backend server at a time. Beyond it, a histogram that was not used recently is
+/// evicted.
+const MAX_HISTOGRAMS: usize = 8_192;
 
-/// The part of the generations that count as short, for what may still make its deadline.
-const LOW: f64 = 0.1;
+/// The quantile used as an optimistic length, to decide what may still meet its deadline.
+const LOW_QUANTILE: f64 = 0.1;
 
-/// Drift is when the mean of about eight observations lies four standard errors off.
+/// Drift is detected when the mean of about eight recent observations is this many standard errors
+/// away from the long-term mean.
 const DRIFT_ERRORS: f64 = 4.0;
-const FAST: f64 = 1.0 / 8.0;
-const SLOW: f64 = 1.0 / 64.0;
+const FAST_WEIGHT: f64 = 1.0 / 8.0;
+const SLOW_WEIGHT: f64 = 1.0 / 64.0;
 
-/// The weight that the past keeps when drift is seen.
-const DRIFT_KEEPS: f64 = 1.0 / 16.0;
+/// The share of their weight that past observations retain when drift is detected.
+const DRIFT_RETENTION: f64 = 1.0 / 16.0;
 
-/// What is expected of a generation that has produced some tokens already.
+/// An estimate of the tokens that a running generation will still produce.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Expectation {
-    /// The mean number of tokens still to come.
+    /// The mean number of remaining tokens.
     pub mean: f64,
-    /// Its variance.
+    /// The variance of the number of remaining tokens.
     pub variance: f64,
-    /// The number that a tenth of the generations do not exceed.
+    /// The 10th percentile of the number of remaining tokens.
     pub low: f64,
-    /// The number that half of the generations do not exceed.
+    /// The median number of remaining tokens.
     pub median: f64,
 }
 
-/// The lengths of one set of generations.
+/// A histogram of the lengths of one set of generations, with exponential decay.
 #[derive(Clone, Debug)]
-pub struct Sketch {
+pub struct LengthHistogram {
     buckets: [f32; BUCKETS],
-    // The sum of the buckets.
+    // The sum of all buckets.
     total: f64,
-    // The weight of the next observation; it grows, in place of all others shrinking.
-    unit: f64,
-    // Means and variance of the logarithm, for drift.
-    fast: f64,
-    slow: f64,
+    // The weight of the next observation. It grows, which has the same effect as decaying all earlier
+    // ones.
+    sample_weight: f64,
+    // Moving averages and variance of the logarithm, for drift detection.
+    fast_mean: f64,
+    slow_mean: f64,
     variance: f64,
-    seen: u64,
+    observations: u64,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct SketchKey {
-    // None: all workspaces.
+struct HistogramKey {
+    // `None` stands for all workspaces together.
     workspace: Option<Name>,
     kind: Name,
-    class: u8,
+    limit_class: u8,
 }
 
 #[derive(Debug)]
 struct Entry {
-    key: SketchKey,
-    sketch: Sketch,
-    // Whether it was used since the hand passed last.
-    used: bool,
+    key: HistogramKey,
+    histogram: LengthHistogram,
+    // Whether it was used since the clock hand last passed it.
+    referenced: bool,
 }
 
-/// The sketches of one service.
+/// Predicts the output lengths of one service.
 #[derive(Debug, Default)]
 pub struct Lengths {
     entries: Vec<Entry>,
-    places: HashMap<SketchKey, usize>,
-    hand: usize,
+    index: HashMap<HistogramKey, usize>,
+    clock_hand: usize,
 }
 
 impl Lengths {
-    /// Nothing learned yet.
+    /// Creates a predictor without observations.
     pub fn new() -> Self {
         Lengths::default()
     }
 
-    /// Takes in the length of a generation that came to its end.
+    /// Records the length of a generation that ran to its end.
     pub fn observe(&mut self, workspace: &Name, kind: &Name, limit: u32, length: u32) {
         for workspace in [Some(workspace), None] {
-            let place = self.place(&SketchKey::new(workspace, kind, limit));
-            self.entries[place].sketch.observe(length);
+            let slot = self.slot(&HistogramKey::new(workspace, kind, limit));
+            self.entries[slot].histogram.observe(length);
         }
     }
 
-    /// What is expected of a generation with at most `limit` tokens, `produced` of which came.
+    /// Estimates the remaining length of a generation limited to `limit` tokens that has produced
+    /// `produced` so far.
     pub fn expect(&self, workspace: &Name, kind: &Name, limit: u32, produced: u32) -> Expectation {
-        let own = self.find(&SketchKey::new(Some(workspace), kind, limit));
-        let all = self.find(&SketchKey::new(None, kind, limit));
+        let own = self.find(&HistogramKey::new(Some(workspace), kind, limit));
+        let all = self.find(&HistogramKey::new(None, kind, limit));
         expect(own, all, limit, produced)
     }
 
-    fn find(&self, key: &SketchKey) -> Option<&Sketch> {
-        self.places
+    fn find(&self, key: &HistogramKey) -> Option<&LengthHistogram> {
+        self.index
             .get(key)
-            .map(|&place| &self.entries[place].sketch)
+            .map(|&slot| &self.entries[slot].histogram)
     }
 
-    fn place(&mut self, key: &SketchKey) -> usize {
-        if let Some(&place) = self.places.get(key) {
-            self.entries[place].used = true;
-            return place;
+    fn slot(&mut self, key: &HistogramKey) -> usize {
+        if let Some(&slot) = self.index.get(key) {
+            self.entries[slot].referenced = true;
+            return slot;
         }
         let entry = Entry {
             key: key.clone(),
-            sketch: Sketch::new(),
-            used: true,
+            histogram: LengthHistogram::new(),
+            referenced: true,
         };
-        let place = if self.entries.len() < MAX_SKETCHES {
+        let slot = if self.entries.len() < MAX_HISTOGRAMS {
             self.entries.push(entry);
             self.entries.len() - 1
         } else {
-            let place = self.least_used();
-            self.places.remove(&self.entries[place].key);
-            self.entries[place] = entry;
-            place
+            let slot = self.next_victim();
+            self.index.remove(&self.entries[slot].key);
+            self.entries[slot] = entry;
+            slot
         };
-        self.places.insert(key.clone(), place);
-        place
+        self.index.insert(key.clone(), slot);
+        slot
     }
 
-    // Second chance: constant time on average.
-    fn least_used(&mut self) -> usize {
+    // Selects an entry by the clock (second chance) algorithm, in constant time on average.
+    fn next_victim(&mut self) -> usize {
         loop {
-            self.hand = (self.hand + 1) % self.entries.len();
-            let entry = &mut self.entries[self.hand];
-            if !entry.used {
-                return self.hand;
+            self.clock_hand = (self.clock_hand + 1) % self.entries.len();
+            let entry = &mut self.entries[self.clock_hand];
+            if !entry.referenced {
+                return self.clock_hand;
             }
-            entry.used = false;
+            entry.referenced = false;
         }
     }
 }
 
-impl SketchKey {
+impl HistogramKey {
     fn new(workspace: Option<&Name>, kind: &Name, limit: u32) -> Self {
-        SketchKey {
+        HistogramKey {
             workspace: workspace.cloned(),
             kind: kind.clone(),
-            class: (limit.max(1).ilog2() / 2) as u8,
+            limit_class: (limit.max(1).ilog2() / 2) as u8,
         }
     }
 }
 
-impl Default for Sketch {
+impl Default for LengthHistogram {
     fn default() -> Self {
-        Sketch::new()
+        LengthHistogram::new()
     }
 }
 
-impl Sketch {
-    /// An empty sketch.
+impl LengthHistogram {
+    /// Creates an empty histogram.
     pub fn new() -> Self {
-        Sketch {
+        LengthHistogram {
             buckets: [0.0; BUCKETS],
             total: 0.0,
-            unit: 1.0,
-            fast: 0.0,
-            slow: 0.0,
+            sample_weight: 1.0,
+            fast_mean: 0.0,
+            slow_mean: 0.0,
             variance: 1.0,
-            seen: 0,
+            observations: 0,
         }
     }
 
-    /// Takes in one length.
+    /// Records one length.
     pub fn observe(&mut self, length: u32) {
-        self.follow(f64::from(length.max(1)).log2());
-        self.buckets[bucket(length)] += self.unit as f32;
-        self.total += self.unit;
-        self.unit *= 2f64.powf(1.0 / HALF_LIFE);
-        if self.unit > 1e6 {
+        self.track_drift(f64::from(length.max(1)).log2());
+        self.buckets[bucket(length)] += self.sample_weight as f32;
+        self.total += self.sample_weight;
+        self.sample_weight *= 2f64.powf(1.0 / HALF_LIFE);
+        if self.sample_weight > 1e6 {
             self.rescale();
         }
     }
 
-    /// The length that `part` of the generations do not exceed; 0 without observations.
+    /// Returns the length that a share `part` of the generations do not exceed; 0 without observations.
     pub fn quantile(&self, part: f64) -> u32 {
-        let mut left = self.total * part;
+        let mut remaining = self.total * part;
         for (index, &weight) in self.buckets.iter().enumerate() {
-            left -= f64::from(weight);
-            if left <= 0.0 && weight > 0.0 {
-                return MIDDLES[index] as u32;
+            remaining -= f64::from(weight);
+            if remaining <= 0.0 && weight > 0.0 {
+                return BUCKET_MIDPOINTS[index] as u32;
             }
         }
         0
     }
 
-    // The weight in observations, most recent first.
+    // The total weight, in units of the most recent observation.
     fn weight(&self) -> f64 {
-        self.total / self.unit
+        self.total / self.sample_weight
     }
 
-    fn follow(&mut self, log: f64) {
-        self.seen += 1;
-        if self.seen == 1 {
-            self.fast = log;
-            self.slow = log;
+    fn track_drift(&mut self, log_length: f64) {
+        self.observations += 1;
+        if self.observations == 1 {
+            self.fast_mean = log_length;
+            self.slow_mean = log_length;
         }
-        let slow = SLOW.max(1.0 / self.seen as f64);
-        self.fast += FAST.max(1.0 / self.seen as f64) * (log - self.fast);
-        self.variance += slow * ((log - self.slow).powi(2) - self.variance);
-        self.slow += slow * (log - self.slow);
-        // The standard error of a mean that forgets by FAST.
-        let error = (self.variance * FAST / (2.0 - FAST)).sqrt();
-        let drifted = (self.fast - self.slow).abs() > DRIFT_ERRORS * error.max(0.05);
-        if drifted && self.seen > 16 {
-            self.unit /= DRIFT_KEEPS;
-            self.slow = self.fast;
+        let slow_weight = SLOW_WEIGHT.max(1.0 / self.observations as f64);
+        self.fast_mean +=
+            FAST_WEIGHT.max(1.0 / self.observations as f64) * (log_length - self.fast_mean);
+        self.variance += slow_weight * ((log_length - self.slow_mean).powi(2) - self.variance);
+        self.slow_mean += slow_weight * (log_length - self.slow_mean);
+        // The standard error of an exponential moving average with the weight `FAST_WEIGHT`.
+        let standard_error = (self.variance * FAST_WEIGHT / (2.0 - FAST_WEIGHT)).sqrt();
+        let drifted =
+            (self.fast_mean - self.slow_mean).abs() > DRIFT_ERRORS * standard_error.max(0.05);
+        if drifted && self.observations > 16 {
+            self.sample_weight /= DRIFT_RETENTION;
+            self.slow_mean = self.fast_mean;
         }
     }
 
     fn rescale(&mut self) {
         for weight in &mut self.buckets {
-            *weight /= self.unit as f32;
+            *weight /= self.sample_weight as f32;
         }
-        self.total /= self.unit;
-        self.unit = 1.0;
+        self.total /= self.sample_weight;
+        self.sample_weight = 1.0;
     }
 }
 
-fn expect(own: Option<&Sketch>, all: Option<&Sketch>, limit: u32, produced: u32) -> Expectation {
+fn expect(
+    own: Option<&LengthHistogram>,
+    all: Option<&LengthHistogram>,
+    limit: u32,
+    produced: u32,
+) -> Expectation {
     if produced >= limit {
         return Expectation {
             mean: 0.0,
@@ -255,73 +268,73 @@
             median: 0.0,
         };
     }
-    let empty = Sketch::new();
+    let empty = LengthHistogram::new();
     let own = own.unwrap_or(&empty);
     let all = all.unwrap_or(&empty);
-    let own_part = 1.0 / own.unit;
-    let all_part = PARENT_WEIGHT.min(all.weight()) / all.total.max(f64::MIN_POSITIVE);
+    let own_scale = 1.0 / own.sample_weight;
+    let all_scale = PRIOR_WEIGHT.min(all.weight()) / all.total.max(f64::MIN_POSITIVE);
     let last = bucket(limit);
     let prior = 1.0 / (last + 1) as f64;
     let first = bucket(produced + 1);
     let mut shares = [0.0; BUCKETS];
     for (index, share) in shares.iter_mut().enumerate().skip(first) {
-        let own = f64::from(own.buckets[index]) * own_part;
-        let all = f64::from(all.buckets[index]) * all_part;
+        let own = f64::from(own.buckets[index]) * own_scale;
+        let all = f64::from(all.buckets[index]) * all_scale;
         *share = own + all + if index <= last { prior } else { 0.0 };
     }
-    let left = |index: usize| {
-        let length = MIDDLES[index]
+    let remaining = |index: usize| {
+        let length = BUCKET_MIDPOINTS[index]
             .min(f64::from(limit))
             .max(f64::from(produced + 1));
         length - f64::from(produced)
     };
     let (mut weight, mut sum, mut squares) = (0.0, 0.0, 0.0);
     for (index, share) in shares.iter().enumerate().skip(first) {
-        let left = left(index);
+        let remaining = remaining(index);
         weight += share;
-        sum += share * left;
-        squares += share * left * left;
+        sum += share * remaining;
+        squares += share * remaining * remaining;
     }
     let mean = sum / weight;
     let quantile = |part: f64| {
-        let mut under = weight * part;
-        let reached = |&index: &usize| {
-            under -= shares[index];
-            under <= 0.0
+        let mut remaining_weight = weight * part;
+        let covers = |&index: &usize| {
+            remaining_weight -= shares[index];
+            remaining_weight <= 0.0
         };
-        left((first..BUCKETS).find(reached).unwrap_or(first))
+        remaining((first..BUCKETS).find(covers).unwrap_or(first))
     };
     Expectation {
         mean,
         variance: (squares / weight - mean * mean).max(0.0),
-        low: quantile(LOW),
+        low: quantile(LOW_QUANTILE),
         median: quantile(0.5),
     }
 }
 
-// Four buckets for each doubling.
+// Returns the bucket of a length. There are four buckets for each power of two.
 fn bucket(length: u32) -> usize {
     let length = length.max(1);
-    let power = length.ilog2();
-    let quarter = if power >= 2 {
-        (length >> (power - 2)) & 3
+    let exponent = length.ilog2();
+    let quarter = if exponent >= 2 {
+        (length >> (exponent - 2)) & 3
     } else {
-        (length << (2 - power)) & 3
+        (length << (2 - exponent)) & 3
     };
-    ((4 * power + quarter) as usize).min(BUCKETS - 1)
+    ((4 * exponent + quarter) as usize).min(BUCKETS - 1)
 }
 
-// The middle of each bucket.
-static MIDDLES: [f64; BUCKETS] = middles();
+// The midpoint of each bucket.
+static BUCKET_MIDPOINTS: [f64; BUCKETS] = bucket_midpoints();
 
-const fn middles() -> [f64; BUCKETS] {
-    let mut middles = [0.0; BUCKETS];
+const fn bucket_midpoints() -> [f64; BUCKETS] {
+    let mut midpoints = [0.0; BUCKETS];
     let mut index = 0;
     while index < BUCKETS {
         let power = (1_u64 << (index / 4)) as f64;
         // Between (4 + quarter) / 4 and (5 + quarter) / 4 of the power of two.
-        middles[index] = power * (9 + 2 * (index % 4)) as f64 / 8.0;
+        midpoints[index] = power * (9 + 2 * (index % 4)) as f64 / 8.0;
         index += 1;
     }
-    middles
+    midpoints
 }
--- a/lib/src/load.rs
+++ b/lib/src/load.rs
@@ -1,29 +1,29 @@
-//! What an agent tells entries of its load, on replies and heartbeats.
+//! The load report that an agent sends to entries with replies and heartbeats.
 
 use crate::value_type;
 
 value_type! {
-    /// An agent's load in a few bytes. Postcard packs the figures as variable-length integers.
+    /// A compact summary of an agent's load. Postcard encodes the numbers as variable-length integers.
     #[derive(Default)]
     pub struct LoadSummary {
-        /// Microseconds that a short request arriving now is expected to wait before it starts.
+        /// The expected queueing delay of a short request that arrives now, in microseconds.
         pub expected_wait: u64,
-        /// Microseconds between two tokens of a stream, as measured lately; for a plain service the
-        /// time that a call takes.
+        /// The recently measured time between two tokens of a stream, in microseconds; for a plain
+        /// service, the duration of a call.
         pub token_gap: u64,
-        /// Requests that run.
+        /// The number of running requests.
         pub running: u32,
-        /// Requests that wait.
+        /// The number of queued requests.
         pub queued: u32,
-        /// Tokens of memory not yet spoken for.
+        /// Unreserved memory, in tokens.
         pub free_tokens: u64,
-        /// Tokens of memory in all; zero for a plain service.
+        /// Total memory, in tokens; zero for a plain service.
         pub capacity_tokens: u64,
-        /// Displaced generations since the agent started.
+        /// The number of preempted generations since the agent started.
         pub preemptions: u64,
-        /// Whether new work is refused since the process or its backend server leaves.
+        /// Whether new work is refused because the process or its backend server is draining.
         pub draining: bool,
-        /// Whether the backend server answers.
+        /// Whether the backend server is reachable.
         pub reachable: bool,
     }
 }
--- a/lib/src/suspects.rs
+++ b/lib/src/suspects.rs
@@ -1,22 +1,23 @@
-//! Requests that end the backend servers which run them.
+//! Detects poison requests: requests that crash the backend servers that run them.
 //!
 //! Load pattern: one request crashes each engine that runs it, and its caller sends it again, through
-//! whichever entry. Without this it takes the servers of a service one after the other, and with each
-//! the hundred requests of others that ran beside it.
+//! any entry. Without detection, it crashes the servers of a service one after the other, and with
+//! each of them the hundred other requests that run there.
 //!
-//! An agent outlives its backend server and knows what ran at the crash. All of it is suspect. A suspect
-//! runs alone next time, so that a second crash is its own and costs no one else. After that, requests
-//! like it are refused, and everything that was suspect only for crashes which it explains is cleared.
-//! A suspect that goes well is cleared as well, after [`PROBATION`] tokens, so that a batch of innocent
-//! long ones is not run one by one to the end.
+//! An agent survives the crash of its backend server and knows which requests were running. All of
+//! them become suspects. A suspect runs alone the next time, so that a second crash can be attributed
+//! to it and affects no other request. After a second crash, identical requests are refused, and the
+//! requests that were suspect only because of crashes it explains are cleared. A suspect that produces
+//! [`PROBATION`] tokens without a crash is cleared as well, so that a batch of harmless long requests
+//! is not run one by one to the end.
 //!
-//! One crash alone is no proof, since engines also die by themselves. So a request costs two servers
-//! within a [`LIFETIME`], if its copies come after the evidence. Copies that run at the same time cost
-//! one each; entries send a suspect by its fingerprint as the affinity, so that its copies meet at one
-//! agent.
+//! A single crash is no proof, since engines also crash for other reasons. A poison request therefore
+//! costs two servers in each [`LIFETIME`], provided that its copies arrive after the evidence. Copies
+//! that run at the same time cost one server each. To avoid this, entries use the fingerprint of a
+//! suspect as its affinity, so that copies are routed to the same agent.
 //!
-//! Evidence is a set of marks that only grows, so agents and entries may pass it on in any order and
-//! more than once.
+//! The evidence is a set of marks that only grows, so agents and entries may exchange marks in any
+//! order and more than once.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -27,29 +28,30 @@
 use crate::time::Time;
 use crate::value_type;
 
-/// Tokens that a suspect must produce alone before others may run beside it. Crashes by a prompt come
-/// while it is read, and the stand-ins' and published ones within the first tokens.
+/// Tokens that a suspect must produce alone before other requests may run at the same time. Crashes
+/// caused by a prompt occur during prefill; those of the stand-in engines and published ones occur
+/// within the first tokens.
 pub const PROBATION: u32 = 32;
 
-/// How long a mark counts. A caller that sends again for an hour costs four servers and no more.
+/// How long a mark is valid. A caller that keeps retrying for an hour crashes at most four servers.
 pub const LIFETIME: Duration = Duration::from_secs(30 * 60);
 
-/// Marks kept; the oldest crash goes first. Batches of 256 in 64 crashes within a lifetime, at about
-/// 100 bytes each under 2 MB.
+/// The maximum number of marks; those of the oldest crash are evicted first. Enough for batches of 256
+/// in 64 crashes within a lifetime; at about 100 bytes each, they take less than 2 MB.
 pub const MARKS: usize = 16_384;
 
 copy_type! {
-    /// What tells requests that are alike: service, model and prompt.
+    /// A hash of a request's service, model and prompt, equal for identical requests.
     pub struct Fingerprint(pub u128);
 
-    /// One crash of one backend server, as a random number.
+    /// Identifies one crash of one backend server; a random number.
     pub struct CrashId(pub u64);
 
-    /// What may be done with a request.
+    /// How a request may be run.
     pub enum Verdict {
-        /// It may run beside others.
+        /// It may run concurrently with other requests.
         Free,
-        /// It may run only while nothing else does.
+        /// It may run only while no other request does.
         Alone,
         /// It must not run.
         Refuse,
@@ -57,53 +59,54 @@
 }
 
 value_type! {
-    /// What is known of one request at one crash. Passed between agents by entries.
+    /// Evidence that a request was running at a crash. Entries exchange marks between agents.
     pub struct Mark {
-        /// The request.
+        /// The fingerprint of the request.
         pub fingerprint: Fingerprint,
         /// The crash.
         pub crash: CrashId,
-        /// Whether nothing else ran.
+        /// Whether no other request was running.
         pub alone: bool,
-        /// Whether the request has been found innocent of this crash.
+        /// Whether it has been established that the request did not cause this crash.
         pub cleared: bool,
-        /// Microseconds since the crash.
+        /// Microseconds since the crash. Marks carry an age since the clocks of processes differ.
         pub age: u64,
     }
 }
 
+/// A mark as stored by one process.
 #[derive(Clone, Copy, Debug)]
-struct Evidence {
+struct StoredMark {
     crash: CrashId,
     alone: bool,
     cleared: bool,
-    // When the crash was, by this process's clock.
-    at: Time,
-    // The table's revision at the last change.
+    // The time of the crash on this process's clock.
+    crashed_at: Time,
+    // The revision of `Suspects` at which this mark last changed.
     revision: u64,
 }
 
 #[derive(Debug)]
 struct Crash {
-    at: Time,
+    crashed_at: Time,
     requests: Vec<Fingerprint>,
 }
 
-/// The evidence that one process holds.
+/// The evidence that one process has about poison requests.
 #[derive(Debug, Default)]
 pub struct Suspects {
-    requests: HashMap<Fingerprint, Vec<Evidence>>,
+    requests: HashMap<Fingerprint, Vec<StoredMark>>,
     crashes: HashMap<CrashId, Crash>,
-    // Crashes in the order in which they became known.
-    order: VecDeque<CrashId>,
-    // At most `MARKS` after each change.
+    // Crashes in the order in which this process learned of them.
+    arrival_order: VecDeque<CrashId>,
+    // The number of marks, at most `MARKS` after each change.
     marks: usize,
-    // Grows with every change.
+    // Incremented with every change.
     revision: u64,
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn new(service: &Name, model: &Name, prompt: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in [
@@ -115,24 +118,24 @@
             hasher.update(part);
         }
         let digest = hasher.finalize();
-        let mut head = [0; 16];
-        head.copy_from_slice(&digest.as_bytes()[..16]);
-        Fingerprint(u128::from_le_bytes(head))
+        let mut truncated = [0; 16];
+        truncated.copy_from_slice(&digest.as_bytes()[..16]);
+        Fingerprint(u128::from_le_bytes(truncated))
     }
 
-    /// The hash by which copies of a suspect meet at one agent.
+    /// Returns the affinity hash by which copies of a suspect are routed to the same agent.
     pub fn affinity(self) -> u64 {
         self.0 as u64
     }
 }
 
 impl Suspects {
-    /// No evidence.
+    /// Creates an instance without evidence.
     pub fn new() -> Self {
         Suspects::default()
     }
 
-    /// The backend server crashed while it ran these.
+    /// Records that the backend server crashed while it was running these requests.
     pub fn crashed(&mut self, now: Time, crash: CrashId, running: &[Fingerprint]) {
         let alone = running.len() == 1;
         for fingerprint in running {
@@ -145,11 +148,12 @@
             };
             self.add(now, &mark);
         }
-        self.explain_all(running);
-        self.trim(now);
+        self.clear_explained(running);
+        self.evict(now);
     }
 
-    /// The request produced [`PROBATION`] tokens or ended well, in a run that began after its crashes.
+    /// Records that the request produced [`PROBATION`] tokens or succeeded, in a run that began after
+    /// its crashes.
     pub fn went_well(&mut self, fingerprint: Fingerprint) {
         let crashes: Vec<CrashId> = self.crashes_of(fingerprint);
         for crash in crashes {
@@ -157,7 +161,7 @@
         }
     }
 
-    /// What may be done with the request. O(1).
+    /// Returns how the request may be run. Takes O(1).
     pub fn verdict(&self, now: Time, fingerprint: Fingerprint) -> Verdict {
         let Some(evidence) = self.requests.get(&fingerprint) else {
             return Verdict::Free;
@@ -165,7 +169,7 @@
         verdict(evidence.iter().filter(|e| e.counts(now)))
     }
 
-    /// The marks that changed after `revision`, to be passed on.
+    /// Returns the marks that changed after `revision`, for other processes.
     pub fn marks_since(&self, now: Time, revision: u64) -> Vec<Mark> {
         let requests = self.requests.iter();
         let marks = requests.flat_map(|(fingerprint, evidence)| {
@@ -175,35 +179,35 @@
         marks.collect()
     }
 
-    /// The revision that the next [`Suspects::marks_since`] goes on from.
+    /// Returns the current revision, from which the next [`Suspects::marks_since`] continues.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes in marks from another process.
+    /// Merges marks from another process.
     pub fn learn(&mut self, now: Time, marks: &[Mark]) {
         for mark in marks {
             if Duration::from_micros(mark.age) < LIFETIME {
                 self.add(now, mark);
             }
         }
-        let learnt: Vec<Fingerprint> = marks.iter().map(|m| m.fingerprint).collect();
-        self.explain_all(&learnt);
-        self.trim(now);
+        let changed: Vec<Fingerprint> = marks.iter().map(|m| m.fingerprint).collect();
+        self.clear_explained(&changed);
+        self.evict(now);
     }
 
-    /// Marks held.
+    /// Returns the number of marks.
     pub fn len(&self) -> usize {
         self.marks
     }
 
-    /// Whether there is no evidence.
+    /// Returns whether there is no evidence.
     pub fn is_empty(&self) -> bool {
         self.marks == 0
     }
 
     fn add(&mut self, now: Time, mark: &Mark) {
-        let at = Time::from_micros(now.micros().saturating_sub(mark.age));
+        let crashed_at = Time::from_micros(now.micros().saturating_sub(mark.age));
         let evidence = self.requests.entry(mark.fingerprint).or_default();
         if let Some(known) = evidence.iter_mut().find(|e| e.crash == mark.crash) {
             if mark.cleared && !known.cleared {
@@ -215,41 +219,42 @@
         }
         self.revision += 1;
         self.marks += 1;
-        evidence.push(Evidence {
+        evidence.push(StoredMark {
             crash: mark.crash,
             alone: mark.alone,
             cleared: mark.cleared,
-            at,
+            crashed_at,
             revision: self.revision,
         });
-        let order = &mut self.order;
+        let arrival_order = &mut self.arrival_order;
         let crash = self.crashes.entry(mark.crash).or_insert_with(|| {
-            order.push_back(mark.crash);
+            arrival_order.push_back(mark.crash);
             Crash {
-                at,
+                crashed_at,
                 requests: Vec::new(),
             }
         });
         crash.requests.push(mark.fingerprint);
     }
 
-    /// Clears those who ran beside a request that is now to be refused.
-    fn explain_all(&mut self, requests: &[Fingerprint]) {
+    /// For each of the requests that must now be refused, clears the requests that ran concurrently with
+    /// it.
+    fn clear_explained(&mut self, requests: &[Fingerprint]) {
         for fingerprint in requests {
             let evidence = self.requests.get(fingerprint);
             let evidence = evidence.map_or(&[][..], Vec::as_slice);
             if verdict(evidence.iter().filter(|e| !e.cleared)) == Verdict::Refuse {
-                self.explain(*fingerprint);
+                self.clear_bystanders(*fingerprint);
             }
         }
     }
 
-    fn explain(&mut self, killer: Fingerprint) {
-        for crash in self.crashes_of(killer) {
+    fn clear_bystanders(&mut self, poison: Fingerprint) {
+        for crash in self.crashes_of(poison) {
             let requests = self.crashes.get(&crash).map(|c| c.requests.clone());
-            let others = requests.unwrap_or_default().into_iter();
-            for other in others.filter(|f| *f != killer) {
-                self.clear(other, crash);
+            let bystanders = requests.unwrap_or_default().into_iter();
+            for bystander in bystanders.filter(|f| *f != poison) {
+                self.clear(bystander, crash);
             }
         }
     }
@@ -271,24 +276,24 @@
         evidence.map_or_else(Vec::new, |list| list.iter().map(|e| e.crash).collect())
     }
 
-    /// Drops what is too old or too much, whole crashes at a time.
-    fn trim(&mut self, now: Time) {
-        while let Some(crash) = self.order.front().copied() {
-            let at = self.crashes.get(&crash).map(|c| c.at);
-            let old = at.is_none_or(|at| now.since(at) >= LIFETIME);
-            if !old && self.marks <= MARKS {
+    /// Evicts expired and excess marks, whole crashes at a time.
+    fn evict(&mut self, now: Time) {
+        while let Some(crash) = self.arrival_order.front().copied() {
+            let crashed_at = self.crashes.get(&crash).map(|c| c.crashed_at);
+            let expired = crashed_at.is_none_or(|at| now.since(at) >= LIFETIME);
+            if !expired && self.marks <= MARKS {
                 return;
             }
-            self.order.pop_front();
-            self.forget(crash);
+            self.arrival_order.pop_front();
+            self.remove_crash(crash);
         }
     }
 
-    fn forget(&mut self, crash: CrashId) {
-        let Some(crash_entry) = self.crashes.remove(&crash) else {
+    fn remove_crash(&mut self, crash: CrashId) {
+        let Some(removed) = self.crashes.remove(&crash) else {
             return;
         };
-        for fingerprint in crash_entry.requests {
+        for fingerprint in removed.requests {
             let Some(evidence) = self.requests.get_mut(&fingerprint) else {
                 continue;
             };
@@ -302,13 +307,13 @@
     }
 }
 
-impl Evidence {
+impl StoredMark {
     fn counts(&self, now: Time) -> bool {
-        !self.cleared && now.since(self.at) < LIFETIME
+        !self.cleared && now.since(self.crashed_at) < LIFETIME
     }
 
     fn mark(&self, now: Time, fingerprint: Fingerprint) -> Mark {
-        let age = now.since(self.at).as_micros();
+        let age = now.since(self.crashed_at).as_micros();
         Mark {
             fingerprint,
             crash: self.crash,
@@ -319,9 +324,10 @@
     }
 }
 
-/// Two crashes, one of them alone, leave no other explanation that is as likely. Three in company mean
-/// that running alone was not kept to somewhere, and the request is not given a fourth.
-fn verdict<'a>(evidence: impl Iterator<Item = &'a Evidence>) -> Verdict {
+/// After two crashes, in one of which the request ran alone, no other explanation is as likely. Three
+/// crashes that all had other requests running mean that the isolation was not enforced somewhere; the
+/// request is refused rather than run a fourth time.
+fn verdict<'a>(evidence: impl Iterator<Item = &'a StoredMark>) -> Verdict {
     let mut crashes = 0;
     let mut alone = false;
     for mark in evidence {
