--- a/lib/tests/ejection.rs
+++ b/lib/tests/ejection.rs
@@ -1,4 +1,4 @@
-//! Which servers are left out, and how they come back.
+//! Tests of outlier ejection: which servers are ejected, and how they are readmitted.
 
 use std::time::Duration;
 
@@ -32,8 +32,9 @@
         }
     }
 
-    /// A second in which each server ends 20 requests, each in its time; zero stands for a failure.
-    fn second(&mut self, millis: &[u64]) {
+    /// Simulates one second in which each server ends 20 requests. `millis` has each server's time per
+    /// request, where zero stands for a failure.
+    fn run_second(&mut self, millis: &[u64]) {
         for (key, millis) in self.keys.iter().zip(millis) {
             for _ in 0..20 {
                 match millis {
@@ -48,85 +49,87 @@
         self.ejector.sweep(self.now, &self.keys);
     }
 
-    fn out(&self) -> Vec<usize> {
+    fn ejected(&self) -> Vec<usize> {
         let keys = self.keys.iter().enumerate();
-        let out = keys.filter(|(_, key)| self.ejector.is_ejected(**key));
-        out.map(|(i, _)| i).collect()
+        let ejected = keys.filter(|(_, key)| self.ejector.is_ejected(**key));
+        ejected.map(|(i, _)| i).collect()
     }
 }
 
 #[test]
-fn the_slow_one_of_five_is_out_after_a_second() {
+fn the_slow_one_of_five_is_ejected_after_a_second() {
     let mut servers = Servers::new(5);
-    servers.second(&[40, 45, 200, 38, 50]);
-    assert_eq!(servers.out(), [2]);
+    servers.run_second(&[40, 45, 200, 38, 50]);
+    assert_eq!(servers.ejected(), [2]);
 }
 
 #[test]
-fn one_that_fails_is_out_though_its_failures_are_quick() {
+fn a_server_that_fails_quickly_is_ejected() {
     let mut servers = Servers::new(5);
-    servers.second(&[40, 45, 0, 38, 50]);
-    assert_eq!(servers.out(), [2]);
+    servers.run_second(&[40, 45, 0, 38, 50]);
+    assert_eq!(servers.ejected(), [2]);
 }
 
 #[test]
-fn none_is_out_when_all_are_slow_or_all_fail() {
+fn none_is_ejected_when_all_are_slow_or_all_fail() {
     let mut servers = Servers::new(5);
-    servers.second(&[40, 45, 41, 38, 50]);
-    servers.second(&[400, 450, 410, 380, 500]);
-    servers.second(&[0, 0, 0, 0, 0]);
-    servers.second(&[0, 0, 0, 0, 0]);
-    assert!(servers.out().is_empty());
+    servers.run_second(&[40, 45, 41, 38, 50]);
+    servers.run_second(&[400, 450, 410, 380, 500]);
+    servers.run_second(&[0, 0, 0, 0, 0]);
+    servers.run_second(&[0, 0, 0, 0, 0]);
+    assert!(servers.ejected().is_empty());
 }
 
 #[test]
-fn of_two_none_is_out() {
+fn none_of_two_is_ejected() {
     let mut servers = Servers::new(2);
-    servers.second(&[40, 4_000]);
-    assert!(servers.out().is_empty());
+    servers.run_second(&[40, 4_000]);
+    assert!(servers.ejected().is_empty());
 }
 
 #[test]
-fn the_return_is_slow_and_a_second_stay_longer() {
+fn readmission_starts_slowly_and_the_ejection_time_doubles() {
     let mut servers = Servers::new(5);
-    servers.second(&[40, 45, 200, 38, 50]);
+    servers.run_second(&[40, 45, 200, 38, 50]);
     let key = servers.keys[2];
     let first = servers.now;
     while servers.ejector.is_ejected(key) {
-        servers.second(&[40, 45, 0, 38, 50]);
+        servers.run_second(&[40, 45, 0, 38, 50]);
     }
     assert_eq!(servers.now.since(first), FIRST_STAY);
     let part = servers.ejector.part(servers.now, key);
     assert!(part < 0.2, "{part}");
     assert_eq!(servers.ejector.part(servers.now + SLOW_START, key), 1.0);
-    servers.second(&[40, 45, 200, 38, 50]);
+    servers.run_second(&[40, 45, 200, 38, 50]);
     let second = servers.now;
     while servers.ejector.is_ejected(key) {
-        servers.second(&[40, 45, 200, 38, 50]);
+        servers.run_second(&[40, 45, 200, 38, 50]);
     }
     assert_eq!(servers.now.since(second), 2 * FIRST_STAY);
 }
 
 #[test]
-fn one_that_is_out_comes_back_when_the_others_leave() {
-    // Four of five leave while the fifth is out. A slow server is better than none.
+fn an_ejected_server_is_readmitted_when_the_others_leave() {
+    // Four of five servers leave while the fifth is ejected. A slow server is better than none.
     let mut servers = Servers::new(5);
-    servers.second(&[40, 45, 200, 38, 50]);
+    servers.run_second(&[40, 45, 200, 38, 50]);
     servers.ejector.bound(servers.now, 1);
-    assert!(servers.out().is_empty());
+    assert!(servers.ejected().is_empty());
 }
 
 #[test]
-fn no_more_than_a_fifth_is_ever_out() {
+fn at_most_a_fifth_is_ejected_at_a_time() {
     fn bounded(size: u8, seconds: Vec<Vec<u16>>) -> bool {
         let size = 3 + usize::from(size % 30);
         let mut servers = Servers::new(size);
         for times in seconds {
             let millis: Vec<u64> = times.iter().map(|t| u64::from(*t)).collect();
             let cycle = millis.iter().copied().chain([40]).cycle();
-            servers.second(&cycle.take(size).collect::<Vec<_>>());
+            servers.run_second(&cycle.take(size).collect::<Vec<_>>());
             let most = (size / 5).max(1);
-            if servers.out().len() > most || servers.out().len() != servers.ejector.ejected() {
+            if servers.ejected().len() > most
+                || servers.ejected().len() != servers.ejector.ejected()
+            {
                 return false;
             }
         }
--- a/lib/tests/prefix_index.rs
+++ b/lib/tests/prefix_index.rs
@@ -1,4 +1,4 @@
-//! Which servers are thought to hold which prefixes, from late events with gaps.
+//! Tests of the prefix index, which is built from cache events that arrive late and with gaps.
 
 use cicada_lib::backend::CacheEvent;
 use cicada_lib::prefix_index::HOLDERS;
@@ -24,9 +24,9 @@
 }
 
 #[test]
-fn a_gap_drops_the_server_s_index_and_no_other() {
-    // An engine's cache events are lost between two that arrive. Among the lost ones may be the drop
-    // of any prefix; a caller sent there for its prefix would wait for it to be read again.
+fn a_gap_clears_the_index_of_that_server_only() {
+    // Cache events are lost between two that arrive. The lost ones may include the eviction of any
+    // prefix; a request routed to the server for such a prefix would wait for its prefill.
     let keys = keys(2);
     let mut index = PrefixIndex::new();
     for key in &keys {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn old_events_are_passed_over() {
+fn old_events_are_ignored() {
     let key = keys(1)[0];
     let mut index = PrefixIndex::new();
     index.event(Time::ZERO, key, &event(2, 7, true));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_was_sent_counts_before_its_event_and_ends_with_its_age() {
+fn a_sent_prefix_counts_before_its_event_and_expires() {
     let key = keys(1)[0];
     let mut index = PrefixIndex::new();
     index.sent(Time::ZERO, key, 7);
@@ -65,7 +65,7 @@
         let mut sequence = 0;
         for (which, prefix, stored) in &steps {
             let key = keys[usize::from(which % 8)];
-            // Some steps leave a gap.
+            // Some steps skip a sequence number.
             sequence += if which % 16 == 0 { 2 } else { 1 };
             let prefix = u64::from(*prefix % 64) + 1;
             index.event(Time::ZERO, key, &event(sequence, prefix, *stored));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn many_prefixes_at_one_server_push_out_the_oldest() {
+fn the_oldest_prefixes_of_a_full_server_are_evicted() {
     let key = keys(1)[0];
     let mut index = PrefixIndex::new();
     let count = PREFIXES as u64 + 10;
--- a/lib/tests/spread.rs
+++ b/lib/tests/spread.rs
@@ -1,4 +1,4 @@
-//! From whom the configuration is pulled.
+//! Tests of when and from where a process pulls the configuration.
 
 use std::time::Duration;
 
@@ -42,10 +42,11 @@
     Spread::new(Time::ZERO, Name::new("north"), Name::new("north-1"), rng)
 }
 
-/// All 1,370 processes start at once and nobody has a configuration. If each read the store at once,
-/// 1,370 reads of the root and as many of each chunk would refuse everyone else for seconds.
+/// All 1,370 processes start at once and none has a configuration. If each read the store immediately,
+/// the 1,370 reads of the root and as many of each chunk would exceed the store's rate limit for
+/// seconds.
 #[test]
-fn a_mass_start_spares_the_store() {
+fn a_mass_start_spreads_reads_of_the_store() {
     let mut rng = fastrand::Rng::with_seed(1);
     let mut all: Vec<_> = (0..1_370).map(|_| spread(&mut rng)).collect();
     let mut most = 0;
@@ -71,10 +72,10 @@
     assert!(most < 250 && total >= 1_370, "{most} of {total}");
 }
 
-/// A version is about. A process pulls it from one near it who has it; a second and third peer are
-/// tried before the store, which is asked once and not again for some seconds.
+/// A new version is known from gossip and every pull fails. The process tries three peers, nearest
+/// first, before it reads the store, and reads the store only once within several seconds.
 #[test]
-fn near_peers_come_first_and_the_store_last() {
+fn near_peers_are_tried_first_and_the_store_last() {
     let mut rng = fastrand::Rng::with_seed(2);
     let mut spread = spread(&mut rng);
     let seen = ConfigSeen {
@@ -92,11 +93,11 @@
         seen: Some(&seen),
         watcher: false,
     };
-    let mut asked = Vec::new();
+    let mut pulls = Vec::new();
     for step in 0..80 {
         let now = Time::from_millis(1_000 + step * 100);
         if let Some(pull) = spread.next(now, view, &mut rng) {
-            asked.push(pull);
+            pulls.push(pull);
             spread.done(now, false, &mut rng);
         }
     }
@@ -104,15 +105,15 @@
         Pull::Peer(member) => member.zone.as_str().to_owned(),
         Pull::Store => "store".to_owned(),
     };
-    let zones: Vec<_> = asked.iter().map(zone).collect();
+    let zones: Vec<_> = pulls.iter().map(zone).collect();
     assert_eq!(zones[..4], ["north-1", "north-1", "north-2", "store"]);
     let reads = zones.iter().filter(|zone| *zone == "store").count();
     assert_eq!(reads, 1, "{zones:?}");
 }
 
-/// The newest version heard of is the one in force, or older. Nothing is pulled.
+/// The newest version known from gossip is the applied one, or older. Nothing is pulled.
 #[test]
-fn nothing_is_pulled_for_an_old_version() {
+fn nothing_is_pulled_for_a_version_that_is_not_newer() {
     let mut rng = fastrand::Rng::with_seed(3);
     let mut spread = spread(&mut rng);
     let own = mark(5);
@@ -131,10 +132,10 @@
     }
 }
 
-/// Gossip and watchers fail together without a sign. A process looks at the store by itself after
-/// some minutes, so that a change comes late and is not lost.
+/// Gossip and watchers fail together without an error. A process polls the store after some minutes,
+/// so that a change is delayed but not missed.
 #[test]
-fn a_process_looks_by_itself_now_and_then() {
+fn a_process_polls_the_store_without_gossip() {
     let mut rng = fastrand::Rng::with_seed(4);
     let mut spread = spread(&mut rng);
     let own = mark(5);
@@ -142,7 +143,7 @@
         own: Some(&own),
         ..NOTHING
     };
-    let looks = (0..900).filter(|second| {
+    let polls = (0..900).filter(|second| {
         let now = Time::ZERO + Duration::from_secs(*second);
         let pull = spread.next(now, view, &mut rng);
         if pull.is_some() {
@@ -150,6 +151,6 @@
         }
         pull == Some(Pull::Store)
     });
-    let looks = looks.count();
-    assert!((3..=9).contains(&looks), "{looks} in 15 minutes");
+    let polls = polls.count();
+    assert!((3..=9).contains(&polls), "{polls} in 15 minutes");
 }
--- a/lib/tests/suspects.rs
+++ b/lib/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that end the backend servers which run them.
+//! Tests of the detection of poison requests, which crash the backend servers that run them.
 
 use cicada_lib::ids::Name;
 use cicada_lib::suspects::CrashId;
@@ -11,16 +11,16 @@
 use cicada_lib::time::Time;
 use quickcheck::QuickCheck;
 
-const KILLER: Fingerprint = Fingerprint(1);
+const POISON: Fingerprint = Fingerprint(1);
 
 fn batch(from: u128, size: u128) -> Vec<Fingerprint> {
     (from..from + size).map(Fingerprint).collect()
 }
 
-/// Twelve agents, their evidence passed on by entries after each step.
+/// A set of agents. Entries exchange their evidence after each step.
 struct Fleet {
     agents: Vec<Suspects>,
-    lost: u64,
+    crashes: u64,
     now: Time,
 }
 
@@ -28,12 +28,13 @@
     fn new(agents: usize) -> Self {
         Fleet {
             agents: (0..agents).map(|_| Suspects::new()).collect(),
-            lost: 0,
+            crashes: 0,
             now: Time::ZERO,
         }
     }
 
-    /// Runs the request at an agent among others; whether it was refused.
+    /// Runs the request at an agent, concurrently with `others` if allowed. Returns whether it was
+    /// refused.
     fn run(&mut self, agent: usize, request: Fingerprint, others: &[Fingerprint]) -> bool {
         let mut running = vec![request];
         match self.agents[agent].verdict(self.now, request) {
@@ -41,9 +42,9 @@
             Verdict::Alone => {}
             Verdict::Free => running.extend(others),
         }
-        if running.contains(&KILLER) {
-            self.lost += 1;
-            let crash = CrashId(self.lost);
+        if running.contains(&POISON) {
+            self.crashes += 1;
+            let crash = CrashId(self.crashes);
             self.agents[agent].crashed(self.now, crash, &running);
         } else {
             self.agents[agent].went_well(request);
@@ -51,7 +52,7 @@
         false
     }
 
-    fn spread(&mut self) {
+    fn exchange_marks(&mut self) {
         let all: Vec<Mark> = self
             .agents
             .iter()
@@ -64,35 +65,35 @@
 }
 
 #[test]
-fn a_killer_sent_again_through_any_entry_costs_two_servers() {
-    // A caller sends a request that crashes each engine, again and again, each time through another
-    // entry to another agent. The first crash makes its batch suspect, the second comes while it runs
-    // alone, and from then on every agent refuses it.
+fn a_poison_request_retried_through_any_entry_costs_two_servers() {
+    // A caller keeps retrying a request that crashes each engine, each time through another entry to
+    // another agent. The first crash makes its whole batch suspect, the second occurs while the request
+    // runs alone, and from then on every agent must refuse it.
     let mut fleet = Fleet::new(12);
     let others = batch(100, 40);
     let mut refused = 0;
     for turn in 0..60 {
-        refused += u32::from(fleet.run(turn % 12, KILLER, &others));
-        fleet.spread();
+        refused += u32::from(fleet.run(turn % 12, POISON, &others));
+        fleet.exchange_marks();
     }
-    assert_eq!(fleet.lost, 2);
+    assert_eq!(fleet.crashes, 2);
     assert_eq!(refused, 58);
 }
 
 #[test]
-fn those_who_ran_beside_a_killer_are_cleared_when_it_is_found() {
-    // Forty requests of other callers were in the batch that the killer took down. They are sent
-    // again, and must not wait for an empty engine any longer once it is known which of them it was.
+fn concurrent_requests_are_cleared_when_the_poison_request_is_found() {
+    // Forty requests of other callers were in the batch that the poison request crashed. They are
+    // retried, and must no longer wait for an idle engine once the poison request is identified.
     let mut fleet = Fleet::new(3);
     let others = batch(100, 40);
-    fleet.run(0, KILLER, &others);
-    fleet.spread();
+    fleet.run(0, POISON, &others);
+    fleet.exchange_marks();
     let now = fleet.now;
     assert_eq!(fleet.agents[2].verdict(now, others[7]), Verdict::Alone);
-    fleet.run(1, KILLER, &others);
-    fleet.spread();
+    fleet.run(1, POISON, &others);
+    fleet.exchange_marks();
     for agent in &fleet.agents {
-        assert_eq!(agent.verdict(now, KILLER), Verdict::Refuse);
+        assert_eq!(agent.verdict(now, POISON), Verdict::Refuse);
         assert!(
             others
                 .iter()
@@ -102,13 +103,13 @@
 }
 
 #[test]
-fn an_innocent_that_goes_well_alone_is_cleared_everywhere() {
+fn a_harmless_suspect_that_succeeds_alone_is_cleared_everywhere() {
     let mut fleet = Fleet::new(3);
     let others = batch(100, 2);
-    fleet.run(0, KILLER, &others);
-    fleet.spread();
+    fleet.run(0, POISON, &others);
+    fleet.exchange_marks();
     fleet.run(1, others[0], &[]);
-    fleet.spread();
+    fleet.exchange_marks();
     assert_eq!(fleet.agents[2].verdict(fleet.now, others[0]), Verdict::Free);
     assert_eq!(
         fleet.agents[2].verdict(fleet.now, others[1]),
@@ -118,30 +119,30 @@
 
 #[test]
 fn one_crash_alone_is_no_proof() {
-    // Engines also die by themselves. A request that was the only one at such a crash must be given
-    // another run.
+    // Engines also crash for other reasons. A request that was the only one running at such a crash
+    // must get another attempt.
     let mut suspects = Suspects::new();
-    suspects.crashed(Time::ZERO, CrashId(1), &[KILLER]);
-    assert_eq!(suspects.verdict(Time::ZERO, KILLER), Verdict::Alone);
+    suspects.crashed(Time::ZERO, CrashId(1), &[POISON]);
+    assert_eq!(suspects.verdict(Time::ZERO, POISON), Verdict::Alone);
 }
 
 #[test]
-fn the_same_crash_told_twice_counts_once() {
+fn a_mark_received_twice_counts_once() {
     let mut suspects = Suspects::new();
-    suspects.crashed(Time::ZERO, CrashId(1), &[KILLER]);
+    suspects.crashed(Time::ZERO, CrashId(1), &[POISON]);
     let marks = suspects.marks_since(Time::ZERO, 0);
     suspects.learn(Time::ZERO, &marks);
     suspects.learn(Time::ZERO, &marks);
-    assert_eq!(suspects.verdict(Time::ZERO, KILLER), Verdict::Alone);
+    assert_eq!(suspects.verdict(Time::ZERO, POISON), Verdict::Alone);
     assert_eq!(suspects.len(), 1);
 }
 
 #[test]
-fn evidence_ends_and_is_bounded() {
+fn evidence_expires_and_is_bounded() {
     let mut suspects = Suspects::new();
-    suspects.crashed(Time::ZERO, CrashId(1), &[KILLER]);
+    suspects.crashed(Time::ZERO, CrashId(1), &[POISON]);
     let later = Time::ZERO + LIFETIME;
-    assert_eq!(suspects.verdict(later, KILLER), Verdict::Free);
+    assert_eq!(suspects.verdict(later, POISON), Verdict::Free);
     for crash in 2..200 {
         let running = batch(u128::from(crash) * 1_000, 300);
         suspects.crashed(later, CrashId(crash), &running);
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn fingerprints_tell_service_model_and_prompt_apart() {
+fn fingerprints_separate_service_model_and_prompt() {
     let of =
         |s: &str, m: &str, p: &str| Fingerprint::new(&Name::new(s), &Name::new(m), p.as_bytes());
     assert_eq!(of("a", "b", "c"), of("a", "b", "c"));
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn marks_give_the_same_verdicts_in_any_order() {
+fn verdicts_do_not_depend_on_the_order_of_marks() {
     fn same(crashes: Vec<(u8, bool)>, order: Vec<usize>) -> bool {
         let now = Time::from_millis(1);
         let mut first = Suspects::new();
@@ -190,15 +191,15 @@
 }
 
 #[test]
-fn ages_travel_in_place_of_times() {
-    // Two processes' clocks have different origins; a mark must end at the same moment in both.
+fn a_mark_expires_at_the_same_moment_on_clocks_with_different_origins() {
+    // Marks carry ages rather than times, since the clocks of two processes have different origins.
     let mut agent = Suspects::new();
-    agent.crashed(Time::from_millis(10_000_000), CrashId(1), &[KILLER]);
-    let told = Time::from_millis(10_060_000);
+    agent.crashed(Time::from_millis(10_000_000), CrashId(1), &[POISON]);
+    let sent_at = Time::from_millis(10_060_000);
     let mut entry = Suspects::new();
-    entry.learn(Time::from_millis(100_000), &agent.marks_since(told, 0));
+    entry.learn(Time::from_millis(100_000), &agent.marks_since(sent_at, 0));
     let end = Time::from_millis(40_000) + LIFETIME;
-    assert_eq!(entry.verdict(end, KILLER), Verdict::Free);
+    assert_eq!(entry.verdict(end, POISON), Verdict::Free);
     let before = Time::from_millis(39_000) + LIFETIME;
-    assert_eq!(entry.verdict(before, KILLER), Verdict::Alone);
+    assert_eq!(entry.verdict(before, POISON), Verdict::Alone);
 }
