--- a/daemon/src/agent.rs
+++ b/daemon/src/agent.rs
@@ -20,7 +20,7 @@
 use cicada_lib::service_http::HttpService;
 use cicada_lib::settings::SchedulerSettings;
 use cicada_lib::settings::WorkspacePolicy;
-use cicada_lib::suspects::Mark;
+use cicada_lib::suspects::CrashMark;
 use eyre::OptionExt;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -143,7 +143,7 @@
 }
 
 impl MarkSink for DeskSink {
-    fn learn(&self, marks: &[Mark]) {
+    fn learn(&self, marks: &[CrashMark]) {
         // Lost where the desk is far behind; others push the same evidence.
         let _ = self.0.try_send(DeskEvent::Marks(marks.to_vec()));
     }
--- a/daemon/src/config_controller.rs
+++ b/daemon/src/config_controller.rs
@@ -1,5 +1,5 @@
 //! Keeps the newest configuration in force: told of it by the store or by gossip, and pulled from
-//! peers or the store as [`cicada_lib::spread`] decides.
+//! peers or the store as [`cicada_lib::config_pull`] decides.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 use cicada_lib::config_apply::Verdict;
 use cicada_lib::config_chunks::Loaded;
 use cicada_lib::config_chunks::Parts;
+use cicada_lib::config_pull::ConfigPuller;
+use cicada_lib::config_pull::PullContext;
+use cicada_lib::config_pull::PullSource;
 use cicada_lib::config_store;
 use cicada_lib::config_store::ConfigStore;
 use cicada_lib::config_store::StoredRoot;
 use cicada_lib::gossip_net::GossipNet;
 use cicada_lib::ids::Version;
 use cicada_lib::roster::Member;
-use cicada_lib::spread::Pull;
-use cicada_lib::spread::Spread;
-use cicada_lib::spread::SpreadView;
 use cicada_lib::time::Clock;
 
 use crate::control::Controller;
@@ -91,7 +91,7 @@
         let settings = self.process.settings();
         let region = settings.name("process", "region");
         let zone = settings.name("process", "zone");
-        let mut spread = Spread::new(self.clock.now(), region, zone, &mut rng);
+        let mut puller = ConfigPuller::new(self.clock.now(), region, zone, &mut rng);
         loop {
             let now = self.clock.now();
             // A process that knows nobody yet would take itself for a watcher. When all start at once,
@@ -100,16 +100,16 @@
             let watcher = knows_others && self.sources.net.membership().is_watcher(now);
             let seen = self.sources.net.membership().best_config();
             let own = self.state.mark();
-            let view = SpreadView {
+            let view = PullContext {
                 own: own.as_ref(),
                 seen: seen.as_ref(),
                 watcher,
             };
-            if let Some(pull) = spread.next(now, view, &mut rng) {
+            if let Some(pull) = puller.next_pull(now, view, &mut rng) {
                 let succeeded = self.pull(pull).await;
-                spread.done(self.clock.now(), succeeded, &mut rng);
+                puller.record_result(self.clock.now(), succeeded, &mut rng);
             } else if watcher && own.is_some() {
-                self.watch(&mut spread).await;
+                self.watch(&mut puller).await;
             } else {
                 tokio::time::sleep(STEP).await;
             }
@@ -117,7 +117,7 @@
     }
 
     /// Waits for a change at the store, and looks up now and then for news from elsewhere.
-    async fn watch(&mut self, spread: &mut Spread) {
+    async fn watch(&mut self, puller: &mut ConfigPuller) {
         // A watcher that had its first version from a peer has not seen the root yet. Without a
         // reading it would never watch, and with two such watchers an availability zone would learn
         // of changes from others only.
@@ -149,7 +149,7 @@
                 return;
             }
         }
-        spread.watched(self.clock.now());
+        puller.record_watch(self.clock.now());
     }
 
     /// Returns once gossip tells of a newer version, or this process is no watcher any more.
@@ -167,10 +167,10 @@
         }
     }
 
-    async fn pull(&mut self, pull: Pull) -> bool {
+    async fn pull(&mut self, pull: PullSource) -> bool {
         match pull {
-            Pull::Store => self.load().await,
-            Pull::Peer(peer) => self.pull_from(&peer).await,
+            PullSource::Store => self.load().await,
+            PullSource::Peer(peer) => self.pull_from(&peer).await,
         }
     }
 
--- a/daemon/src/desk.rs
+++ b/daemon/src/desk.rs
@@ -17,7 +17,7 @@
 use cicada_lib::outcome::Outcome;
 use cicada_lib::scheduler::JobKey;
 use cicada_lib::scheduler::Scheduler;
-use cicada_lib::suspects::Mark;
+use cicada_lib::suspects::CrashMark;
 use cicada_lib::time::Clock;
 use cicada_lib::time::Time;
 use cicada_lib::wire::ToAgent;
@@ -57,7 +57,7 @@
     /// The store's word on a keyed call.
     Claimed(RecordKey, claims::Result<Claim>),
     /// Evidence from another process.
-    Marks(Vec<Mark>),
+    Marks(Vec<CrashMark>),
     /// A keyed call that did not run has given its claim back.
     Released(RecordKey, Outcome),
 }
--- a/daemon/src/desk_suspects.rs
+++ b/daemon/src/desk_suspects.rs
@@ -4,7 +4,7 @@
 use cicada_lib::outcome::NotRun;
 use cicada_lib::outcome::Outcome;
 use cicada_lib::outcome::RefusalReason;
-use cicada_lib::suspects::Mark;
+use cicada_lib::suspects::CrashMark;
 use cicada_lib::suspects::Verdict;
 use cicada_lib::wire::ToEntry;
 
@@ -20,9 +20,9 @@
     pub(crate) fn queue_free(&mut self, key: RecordKey) {
         let now = self.clock.now();
         let print = self.records.at(key).and_then(|record| record.fingerprint);
-        let verdict = print.map_or(Verdict::Free, |print| self.isolation.verdict(now, print));
+        let verdict = print.map_or(Verdict::Allow, |print| self.isolation.verdict(now, print));
         match (verdict, print) {
-            (Verdict::Alone, Some(print)) => {
+            (Verdict::Isolate, Some(print)) => {
                 if let Some(record) = self.records.at_mut(key) {
                     record.stage = Stage::Suspected;
                 }
@@ -72,7 +72,7 @@
     }
 
     /// Takes in evidence from others, and passes on what is new.
-    pub(crate) fn learn_marks(&mut self, marks: &[Mark]) {
+    pub(crate) fn learn_marks(&mut self, marks: &[CrashMark]) {
         self.isolation.learn(self.clock.now(), marks);
         self.tell_marks();
     }
--- a/daemon/src/entry.rs
+++ b/daemon/src/entry.rs
@@ -19,7 +19,7 @@
 use cicada_lib::routing::ServerKey;
 use cicada_lib::routing::ServerState;
 use cicada_lib::routing::ServerView;
-use cicada_lib::suspects::Mark;
+use cicada_lib::suspects::CrashMark;
 use cicada_lib::suspects::Verdict;
 use cicada_lib::time::Clock;
 
@@ -76,7 +76,7 @@
         }
     }
 
-    fn marks(&self, marks: &[Mark]) {
+    fn marks(&self, marks: &[CrashMark]) {
         self.evidence.learn(marks);
     }
 }
@@ -180,7 +180,7 @@
     pub(crate) fn verdict(&self, request: &Request) -> Verdict {
         match request.fingerprint {
             Some(fingerprint) => self.routing.evidence.verdict(fingerprint),
-            None => Verdict::Free,
+            None => Verdict::Allow,
         }
     }
 
@@ -188,7 +188,7 @@
     pub(crate) fn affinity(&self, request: &Request) -> Option<u64> {
         if request.key.is_empty() {
             let print = request.fingerprint?;
-            let suspect = self.routing.evidence.verdict(print) == Verdict::Alone;
+            let suspect = self.routing.evidence.verdict(print) == Verdict::Isolate;
             return suspect.then(|| print.affinity());
         }
         // All keys of a shard go to one agent, so that it alone commits the shard's claims.
--- a/daemon/src/evidence.rs
+++ b/daemon/src/evidence.rs
@@ -6,8 +6,8 @@
 use std::sync::OnceLock;
 use std::sync::Weak;
 
+use cicada_lib::suspects::CrashMark;
 use cicada_lib::suspects::Fingerprint;
-use cicada_lib::suspects::Mark;
 use cicada_lib::suspects::Suspects;
 use cicada_lib::suspects::Verdict;
 use cicada_lib::time::Clock;
@@ -42,7 +42,7 @@
     }
 
     /// All marks, for an agent that is met anew.
-    pub(crate) fn all(&self) -> Vec<Mark> {
+    pub(crate) fn all(&self) -> Vec<CrashMark> {
         self.lock().marks_since(self.clock.now(), 0)
     }
 
@@ -52,11 +52,11 @@
     }
 
     /// Takes in marks, and returns those that are new.
-    fn take_in(&self, marks: &[Mark]) -> Vec<Mark> {
+    fn take_in(&self, marks: &[CrashMark]) -> Vec<CrashMark> {
         let now = self.clock.now();
         let mut suspects = self.lock();
         let before = suspects.revision();
-        suspects.learn(now, marks);
+        suspects.merge(now, marks);
         suspects.marks_since(now, before)
     }
 
@@ -70,7 +70,7 @@
 impl MarkSink for Evidence {
     /// An agent sends its marks before the end of the stream that they are about, and they are queued
     /// on every link here: the request's next attempt cannot reach an agent before them.
-    fn learn(&self, marks: &[Mark]) {
+    fn learn(&self, marks: &[CrashMark]) {
         let news = self.take_in(marks);
         if news.is_empty() {
             return;
--- a/daemon/src/isolation.rs
+++ b/daemon/src/isolation.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 use cicada_lib::suspects::CrashId;
+use cicada_lib::suspects::CrashMark;
 use cicada_lib::suspects::Fingerprint;
-use cicada_lib::suspects::Mark;
-use cicada_lib::suspects::PROBATION;
+use cicada_lib::suspects::PROBATION_TOKENS;
 use cicada_lib::suspects::Suspects;
 use cicada_lib::suspects::Verdict;
 use cicada_lib::time::Time;
@@ -121,7 +121,7 @@
             return;
         };
         alone.tokens += 1;
-        if alone.tokens >= PROBATION {
+        if alone.tokens >= PROBATION_TOKENS {
             self.clear(record);
         }
     }
@@ -129,7 +129,7 @@
     /// A suspect that ran alone came to a good end.
     pub(crate) fn clear(&mut self, record: RecordKey) {
         if let Some(alone) = self.alone.take_if(|alone| alone.record == record) {
-            self.suspects.went_well(alone.fingerprint);
+            self.suspects.record_success(alone.fingerprint);
         }
     }
 
@@ -148,23 +148,23 @@
         }
         let fingerprints: Vec<Fingerprint> = running.iter().map(|ran| ran.fingerprint).collect();
         let crash = CrashId(fastrand::u64(..));
-        self.suspects.crashed(now, crash, &fingerprints);
+        self.suspects.record_crash(now, crash, &fingerprints);
         self.lost = running.iter().map(|ran| ran.record).collect();
         self.lost.remove(&record);
     }
 
     /// Takes in evidence from other agents.
-    pub(crate) fn learn(&mut self, now: Time, marks: &[Mark]) {
-        self.suspects.learn(now, marks);
+    pub(crate) fn learn(&mut self, now: Time, marks: &[CrashMark]) {
+        self.suspects.merge(now, marks);
     }
 
     /// All evidence.
-    pub(crate) fn all(&self, now: Time) -> Vec<Mark> {
+    pub(crate) fn all(&self, now: Time) -> Vec<CrashMark> {
         self.suspects.marks_since(now, 0)
     }
 
     /// Evidence that others have not been told of.
-    pub(crate) fn news(&mut self, now: Time) -> Vec<Mark> {
+    pub(crate) fn news(&mut self, now: Time) -> Vec<CrashMark> {
         let marks = self.suspects.marks_since(now, self.told);
         self.told = self.suspects.revision();
         marks
--- a/daemon/src/link.rs
+++ b/daemon/src/link.rs
@@ -18,7 +18,7 @@
 use cicada_lib::handshake::PeerKey;
 use cicada_lib::ids::Name;
 use cicada_lib::load::LoadSummary;
-use cicada_lib::suspects::Mark;
+use cicada_lib::suspects::CrashMark;
 use cicada_lib::wire::Attach;
 use cicada_lib::wire::MAX_FRAME;
 use cicada_lib::wire::StreamFrame;
@@ -43,7 +43,7 @@
     fn report(&self, agent: &Name, load: LoadSummary);
 
     /// Takes evidence on requests that end engines.
-    fn marks(&self, marks: &[Mark]);
+    fn marks(&self, marks: &[CrashMark]);
 }
 
 /// The figures and the identity with which links are opened.
@@ -133,7 +133,7 @@
 
     /// Passes on evidence. A link whose queue is full loses it; evidence is sent again in full when a
     /// link is opened.
-    pub(crate) fn tell(&self, marks: &[Mark]) {
+    pub(crate) fn tell(&self, marks: &[CrashMark]) {
         let _ = self.frames.try_send(ToAgent::Marks(marks.to_vec()));
     }
 
--- a/daemon/src/links.rs
+++ b/daemon/src/links.rs
@@ -7,7 +7,7 @@
 use std::sync::MutexGuard;
 
 use cicada_lib::ids::Name;
-use cicada_lib::suspects::Mark;
+use cicada_lib::suspects::CrashMark;
 use tokio::runtime::Handle;
 
 use crate::evidence::Evidence;
@@ -59,7 +59,7 @@
     }
 
     /// Passes on evidence over every open link.
-    pub(crate) fn tell(&self, marks: &[Mark]) {
+    pub(crate) fn tell(&self, marks: &[CrashMark]) {
         let slots: Vec<Arc<Slot>> = lock(&self.slots).values().cloned().collect();
         for slot in slots {
             // A slot that is locked is about to open its link, and will be told of everything then.
--- a/daemon/src/mark_spread.rs
+++ b/daemon/src/mark_spread.rs
@@ -9,7 +9,7 @@
 use cicada_lib::gossip_net::GossipNet;
 use cicada_lib::roster::Member;
 use cicada_lib::roster::MemberState;
-use cicada_lib::suspects::Mark;
+use cicada_lib::suspects::CrashMark;
 use cicada_lib::time::Clock;
 use tokio::runtime::Handle;
 
@@ -22,7 +22,7 @@
 /// Takes evidence from another process.
 pub(crate) trait MarkSink: Send + Sync {
     /// Takes in marks, and passes on what is new.
-    fn learn(&self, marks: &[Mark]);
+    fn learn(&self, marks: &[CrashMark]);
 }
 
 /// Pushes evidence to others.
@@ -46,7 +46,7 @@
     }
 
     /// Tells a few others.
-    pub(crate) fn push(&self, marks: &[Mark]) {
+    pub(crate) fn push(&self, marks: &[CrashMark]) {
         let members = self.net.membership().members(self.clock.now());
         let ready = members
             .into_iter()
--- a/daemon/src/peer_ask.rs
+++ b/daemon/src/peer_ask.rs
@@ -15,7 +15,7 @@
 use cicada_lib::config_chunks::assemble;
 use cicada_lib::handshake;
 use cicada_lib::platform::HostRecord;
-use cicada_lib::suspects::Mark;
+use cicada_lib::suspects::CrashMark;
 use cicada_lib::wire::ConfigParts;
 use cicada_lib::wire::MAX_FRAME;
 use cicada_lib::wire::PeerAnswer;
@@ -121,7 +121,7 @@
 pub(crate) async fn marks(
     peer: SocketAddr,
     settings: &LinkSettings,
-    marks: Vec<Mark>,
+    marks: Vec<CrashMark>,
 ) -> Result<()> {
     exchange(peer, settings, PeerAsk::Marks(marks)).await?;
     Ok(())
--- a/lib/examples/routing_trial.rs
+++ b/lib/examples/routing_trial.rs
@@ -80,7 +80,7 @@
         router("router, 2 choices", |s| s.with_sample_size(2)),
         router("router, whole subset", |s| s.with_sample_size(64)),
         router("router, no ejection", |s| {
-            s.with_ejection(EjectionSettings::new().with_share(0.0))
+            s.with_ejection(EjectionSettings::new().with_max_ejected_share(0.0))
         }),
         router("router, own region", |s| s.with_remote_subset(0)),
     ]
--- a/lib/src/batch.rs
+++ b/lib/src/batch.rs
@@ -8,7 +8,7 @@
 use crate::fair_queue::Account;
 use crate::fair_queue::TOKEN_COST;
 use crate::ids::Name;
-use crate::lengths::Expectation;
+use crate::length_predictor::LengthEstimate;
 use crate::memory_plan::Footprint;
 use crate::memory_plan::MemoryPlan;
 use crate::memory_plan::VictimCandidate;
@@ -55,7 +55,7 @@
     pub(crate) produced: u32,
     pub(crate) pauses: u32,
     /// The length estimate made when `estimated_at` tokens had been produced.
-    pub(crate) expected: Expectation,
+    pub(crate) expected: LengthEstimate,
     pub(crate) estimated_at: u32,
     pub(crate) last_token: Option<Time>,
     pub(crate) arrived: Time,
--- a/lib/src/choice.rs
+++ b/lib/src/choice.rs
@@ -7,7 +7,7 @@
 use crate::outcome::NotRun;
 use crate::outcome::RefusalReason;
 use crate::prefix_index::PrefixIndex;
-use crate::reach::Reach;
+use crate::reachability::ReachTracker;
 use crate::routing::Candidate;
 use crate::routing::Eligibility;
 use crate::routing::RouteRequest;
@@ -42,7 +42,7 @@
     pub(crate) service: &'a ServiceState,
     pub(crate) pool: &'a Pool,
     pub(crate) cost: &'a ZoneCost,
-    pub(crate) reach: &'a Reach,
+    pub(crate) reach: &'a ReachTracker,
     pub(crate) prefixes: &'a PrefixIndex,
 }
 
@@ -124,7 +124,7 @@
 
     fn add_prefix_holders(&self, best: &mut BestServer) {
         for key in self.prefixes.holders(self.request.prefix) {
-            let is_candidate = self.pool.holds(*key) && !best.was_compared(*key);
+            let is_candidate = self.pool.contains(*key) && !best.was_compared(*key);
             if is_candidate && self.is_path_open(*key) && self.is_usable(*key) {
                 best.consider(*key, self.score(*key));
             }
@@ -191,7 +191,7 @@
         if !self.is_usable(key) {
             return false;
         }
-        let share = self.service.ejector.part(self.now, key);
+        let share = self.service.ejector.load_share(self.now, key);
         share >= 1.0 || rng.f64() < share
     }
 
@@ -210,7 +210,7 @@
         if self.service.ejector.is_ejected(key) {
             return Eligibility::Ejected;
         }
-        if server.load.reports_unreachable(self.now) || self.reach.avoids(self.now, key) {
+        if server.load.reports_unreachable(self.now) || self.reach.avoids_server(self.now, key) {
             return Eligibility::Unreachable;
         }
         Eligibility::Usable
@@ -228,7 +228,7 @@
         let max_saving = micros(self.settings.prefix_saving);
         let has_prefix = request.prefix != 0 && self.prefixes.holds(self.now, key, request.prefix);
         let server_delay = estimate.wait + estimate.contention;
-        let network_cost = self.cost.distance(&server.view, server_delay);
+        let network_cost = self.cost.network_cost(&server.view, server_delay);
         ScoreParts {
             wait: estimate.wait as u64,
             contention: estimate.contention as u64,
@@ -257,7 +257,7 @@
     /// Like `eligibility`, but also considers the subset, the region and the link budget.
     fn full_eligibility(&self, key: ServerKey) -> Eligibility {
         match self.eligibility(key) {
-            Eligibility::Usable if !self.pool.holds(key) => Eligibility::OutsideSubset,
+            Eligibility::Usable if !self.pool.contains(key) => Eligibility::OutsideSubset,
             Eligibility::Usable if self.is_region_unreachable(key) => Eligibility::Unreachable,
             Eligibility::Usable if !self.is_path_open(key) => Eligibility::OverBudget,
             eligibility => eligibility,
--- a/lib/src/spread.rs
+++ b/lib/src/config_pull.rs
@@ -8,8 +8,8 @@
 //! that is not a watcher reads the store only when its peers fail, after a random delay and at a
 //! limited rate.
 //!
-//! The driver gets a pull from [`Spread::next`], performs it, and reports the result to
-//! [`Spread::done`].
+//! The driver gets a pull from [`ConfigPuller::next_pull`], performs it, and reports the result to
+//! [`ConfigPuller::record_result`].
 
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
 
 /// The source to pull a version from.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Pull {
+pub enum PullSource {
     /// A process that has applied the version.
     Peer(Member),
     /// The configuration store.
@@ -54,7 +54,7 @@
 
 /// The state of the process on which the choice of a pull depends.
 #[derive(Clone, Copy, Debug)]
-pub struct SpreadView<'a> {
+pub struct PullContext<'a> {
     /// The version that this process has applied.
     pub own: Option<&'a ConfigMark>,
     /// The newest version known from gossip.
@@ -65,7 +65,7 @@
 
 /// Schedules the configuration pulls of one process.
 #[derive(Debug)]
-pub struct Spread {
+pub struct ConfigPuller {
     region: Name,
     zone: Name,
     first_store_read: Time,
@@ -80,11 +80,11 @@
     jitter: f64,
 }
 
-impl Spread {
+impl ConfigPuller {
     /// Creates the schedule of a process that starts now in the given region and zone.
     pub fn new(now: Time, region: Name, zone: Name, rng: &mut fastrand::Rng) -> Self {
         let jitter = rng.f64();
-        Spread {
+        ConfigPuller {
             region,
             zone,
             first_store_read: now
@@ -102,15 +102,20 @@
     }
 
     /// Returns the pull to perform now, if any. Only one pull is in progress at a time.
-    pub fn next(&mut self, now: Time, view: SpreadView, rng: &mut fastrand::Rng) -> Option<Pull> {
+    pub fn next_pull(
+        &mut self,
+        now: Time,
+        context: PullContext,
+        rng: &mut fastrand::Rng,
+    ) -> Option<PullSource> {
         if self.in_progress || now < self.retry_at {
             return None;
         }
-        let pull = self.select(now, view, rng)?;
+        let pull = self.select(now, context, rng)?;
         self.in_progress = true;
         match &pull {
-            Pull::Peer(member) => self.tried.push(member.name.clone()),
-            Pull::Store => {
+            PullSource::Peer(member) => self.tried.push(member.name.clone()),
+            PullSource::Store => {
                 self.next_store_read = now + MIN_STORE_INTERVAL.mul_f64(0.8 + 0.4 * rng.f64());
                 self.next_poll = now + POLL_INTERVAL.mul_f64(0.5 + rng.f64());
             }
@@ -120,7 +125,7 @@
 
     /// Records the result of the last pull. `succeeded` is true if a peer returned the requested
     /// version, or if the store answered.
-    pub fn done(&mut self, now: Time, succeeded: bool, rng: &mut fastrand::Rng) {
+    pub fn record_result(&mut self, now: Time, succeeded: bool, rng: &mut fastrand::Rng) {
         self.in_progress = false;
         if succeeded {
             self.failures = 0;
@@ -134,29 +139,34 @@
     }
 
     /// Postpones the next poll because a watch has just returned the root.
-    pub fn watched(&mut self, now: Time) {
+    pub fn record_watch(&mut self, now: Time) {
         self.next_poll = now + POLL_INTERVAL.mul_f64(0.5 + self.jitter);
     }
 
-    fn select(&mut self, now: Time, view: SpreadView, rng: &mut fastrand::Rng) -> Option<Pull> {
-        let own = view.own.map(|mark| mark.version);
-        let newer = view.seen.filter(|seen| Some(seen.mark.version) > own);
+    fn select(
+        &mut self,
+        now: Time,
+        context: PullContext,
+        rng: &mut fastrand::Rng,
+    ) -> Option<PullSource> {
+        let own = context.own.map(|mark| mark.version);
+        let newer = context.seen.filter(|seen| Some(seen.mark.version) > own);
         if let Some(seen) = newer {
             if self.target.as_ref() != Some(&seen.mark) {
                 self.target = Some(seen.mark.clone());
                 self.tried.clear();
             }
             if let Some(peer) = self.select_peer(seen, rng) {
-                return Some(Pull::Peer(peer));
+                return Some(PullSource::Peer(peer));
             }
             // All peers that have the version were tried: fall back to the store, then retry them.
             let allowed = now >= self.next_store_read;
             self.tried.clear();
-            return allowed.then_some(Pull::Store);
+            return allowed.then_some(PullSource::Store);
         }
-        let first_read = view.own.is_none() && (view.watcher || now >= self.first_store_read);
+        let first_read = context.own.is_none() && (context.watcher || now >= self.first_store_read);
         let poll_due = now >= self.next_poll;
-        ((first_read || poll_due) && now >= self.next_store_read).then_some(Pull::Store)
+        ((first_read || poll_due) && now >= self.next_store_read).then_some(PullSource::Store)
     }
 
     // Returns a random peer among the nearest ones that have the version and were not tried yet.
--- a/lib/src/ejection.rs
+++ b/lib/src/ejection.rs
@@ -29,7 +29,7 @@
 
 /// The largest share of a service's servers that may be ejected at a time. With three or more servers,
 /// one may always be ejected.
-pub const EJECTED_SHARE: f64 = 0.2;
+pub const MAX_EJECTED_SHARE: f64 = 0.2;
 
 /// The number of completed requests or received reports required before a server is compared. With
 /// fewer, a few long outputs in a row look like slowness.
@@ -40,7 +40,7 @@
 
 /// How long the first ejection lasts. The time doubles with each further one, up to
 /// [`MAX_EJECTION_TIME`].
-pub const FIRST_STAY: Duration = Duration::from_secs(10);
+pub const BASE_EJECTION_TIME: Duration = Duration::from_secs(10);
 
 /// The longest ejection.
 pub const MAX_EJECTION_TIME: Duration = Duration::from_secs(160);
@@ -64,8 +64,8 @@
 /// Settings of outlier ejection.
 #[derive(Clone, Debug)]
 pub struct EjectionSettings {
-    factor: f64,
-    share: f64,
+    slow_factor: f64,
+    max_ejected_share: f64,
     slow_start: Duration,
 }
 
@@ -79,21 +79,21 @@
     /// Returns the default settings.
     pub fn new() -> Self {
         EjectionSettings {
-            factor: SLOW_FACTOR,
-            share: EJECTED_SHARE,
+            slow_factor: SLOW_FACTOR,
+            max_ejected_share: MAX_EJECTED_SHARE,
             slow_start: SLOW_START,
         }
     }
 
     /// Sets the multiple of the peers' median that counts as slow, 1.5 to 100.
-    pub fn with_factor(mut self, factor: f64) -> Self {
-        self.factor = factor.clamp(1.5, 100.0);
+    pub fn with_slow_factor(mut self, factor: f64) -> Self {
+        self.slow_factor = factor.clamp(1.5, 100.0);
         self
     }
 
     /// Sets the largest share of servers that may be ejected at a time, 0 (never eject) to 0.5.
-    pub fn with_share(mut self, share: f64) -> Self {
-        self.share = share.clamp(0.0, 0.5);
+    pub fn with_max_ejected_share(mut self, share: f64) -> Self {
+        self.max_ejected_share = share.clamp(0.0, 0.5);
         self
     }
 
@@ -153,18 +153,18 @@
         }
     }
 
-    /// Adds a server. With `slowly`, as for a server that joins a running service, it goes through a
+    /// Adds a server. With `slow_start`, as for a server that joins a running service, it goes through a
     /// slow start.
-    pub fn joined(&mut self, now: Time, server: ServerKey, slowly: bool) {
+    pub fn add_server(&mut self, now: Time, server: ServerKey, slow_start: bool) {
         let stats = ServerStats {
-            slow_start_from: slowly.then_some(now),
+            slow_start_from: slow_start.then_some(now),
             ..ServerStats::default()
         };
         self.servers.insert(server, stats);
     }
 
     /// Removes a server.
-    pub fn left(&mut self, server: ServerKey) {
+    pub fn remove_server(&mut self, server: ServerKey) {
         let stats = self.servers.remove(server);
         if stats.is_some_and(|s| s.ejection.is_some()) {
             self.ejected_count -= 1;
@@ -172,7 +172,7 @@
     }
 
     /// Records that a request succeeded. `pace` is its time per token, or the time of the whole call.
-    pub fn ended(&mut self, now: Time, server: ServerKey, pace: Duration) {
+    pub fn record_success(&mut self, now: Time, server: ServerKey, pace: Duration) {
         let Some(stats) = self.count_request(now, server, 0.0) else {
             return;
         };
@@ -181,7 +181,7 @@
 
     /// Records the time between tokens that the agent of a busy server reported. Reports also cover
     /// servers to which this entry sends few requests, as soon happens with a slow one.
-    pub fn reported(&mut self, now: Time, server: ServerKey, token_gap: Duration) {
+    pub fn record_token_gap(&mut self, now: Time, server: ServerKey, token_gap: Duration) {
         let stats = self.servers.get_mut(server);
         if let Some(stats) = stats.filter(|s| s.ejection.is_none()) {
             stats.token_gap.add(token_gap);
@@ -190,7 +190,7 @@
     }
 
     /// Records that a request failed.
-    pub fn failed(&mut self, now: Time, server: ServerKey) {
+    pub fn record_failure(&mut self, now: Time, server: ServerKey) {
         self.count_request(now, server, 1.0);
     }
 
@@ -221,14 +221,14 @@
         }
         self.last_sweep = now;
         self.readmit_expired(now);
-        self.bound(now, ready.len());
+        self.limit_ejected(now, ready.len());
         self.eject_outliers(now, ready);
     }
 
     /// Readmits servers, longest ejected first, until the number of ejected servers is within the limit
     /// for `ready` servers.
-    pub fn bound(&mut self, now: Time, ready: usize) {
-        while self.ejected_count > self.most(ready) {
+    pub fn limit_ejected(&mut self, now: Time, ready: usize) {
+        while self.ejected_count > self.max_ejected(ready) {
             let ejections = self.servers.iter();
             let oldest = ejections
                 .filter_map(|(key, stats)| Some((stats.ejection?.since, key)))
@@ -247,7 +247,7 @@
     }
 
     /// Returns the share of its full load that the server should get, above 0 and up to 1.
-    pub fn part(&self, now: Time, server: ServerKey) -> f64 {
+    pub fn load_share(&self, now: Time, server: ServerKey) -> f64 {
         let Some(from) = self.servers.get(server).and_then(|s| s.slow_start_from) else {
             return 1.0;
         };
@@ -260,16 +260,16 @@
     }
 
     /// Returns the number of ejected servers.
-    pub fn ejected(&self) -> usize {
+    pub fn ejected_count(&self) -> usize {
         self.ejected_count
     }
 
     /// Returns how many of `ready` servers may be ejected at a time.
-    pub fn most(&self, ready: usize) -> usize {
-        if ready < MIN_SERVERS || self.settings.share == 0.0 {
+    pub fn max_ejected(&self, ready: usize) -> usize {
+        if ready < MIN_SERVERS || self.settings.max_ejected_share == 0.0 {
             return 0;
         }
-        let share = (ready as f64 * self.settings.share).floor() as usize;
+        let share = (ready as f64 * self.settings.max_ejected_share).floor() as usize;
         share.max(1)
     }
 
@@ -319,7 +319,9 @@
             .collect();
         outliers.sort_by(|a, b| b.0.total_cmp(&a.0));
         self.reset_backoff(now, &comparable);
-        let remaining = self.most(ready.len()).saturating_sub(self.ejected_count);
+        let remaining = self
+            .max_ejected(ready.len())
+            .saturating_sub(self.ejected_count);
         for (_, key) in outliers.into_iter().take(remaining) {
             self.eject_server(now, key);
         }
@@ -368,12 +370,13 @@
         }
         let time_per_token = log_ratio(stats.time_per_token.value(), medians.time_per_token);
         let token_gap = log_ratio(stats.token_gap.value(), medians.token_gap);
-        time_per_token.max(token_gap) - self.settings.factor.ln()
+        time_per_token.max(token_gap) - self.settings.slow_factor.ln()
     }
 
     fn eject_server(&mut self, now: Time, server: ServerKey) {
         let stats = &mut self.servers[server];
-        let ejection_time = FIRST_STAY * 2u32.saturating_pow(stats.consecutive_ejections.min(10));
+        let ejection_time =
+            BASE_EJECTION_TIME * 2u32.saturating_pow(stats.consecutive_ejections.min(10));
         stats.ejection = Some(Ejection {
             since: now,
             until: now + ejection_time.min(MAX_EJECTION_TIME),
--- a/lib/src/lengths.rs
+++ b/lib/src/length_predictor.rs
@@ -51,7 +51,7 @@
 
 /// An estimate of the tokens that a running generation will still produce.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Expectation {
+pub struct LengthEstimate {
     /// The mean number of remaining tokens.
     pub mean: f64,
     /// The variance of the number of remaining tokens.
@@ -96,16 +96,16 @@
 
 /// Predicts the output lengths of one service.
 #[derive(Debug, Default)]
-pub struct Lengths {
+pub struct LengthPredictor {
     entries: Vec<Entry>,
     index: HashMap<HistogramKey, usize>,
     clock_hand: usize,
 }
 
-impl Lengths {
+impl LengthPredictor {
     /// Creates a predictor without observations.
     pub fn new() -> Self {
-        Lengths::default()
+        LengthPredictor::default()
     }
 
     /// Records the length of a generation that ran to its end.
@@ -118,10 +118,16 @@
 
     /// Estimates the remaining length of a generation limited to `limit` tokens that has produced
     /// `produced` so far.
-    pub fn expect(&self, workspace: &Name, kind: &Name, limit: u32, produced: u32) -> Expectation {
+    pub fn estimate(
+        &self,
+        workspace: &Name,
+        kind: &Name,
+        limit: u32,
+        produced: u32,
+    ) -> LengthEstimate {
         let own = self.find(&HistogramKey::new(Some(workspace), kind, limit));
         let all = self.find(&HistogramKey::new(None, kind, limit));
-        expect(own, all, limit, produced)
+        estimate(own, all, limit, produced)
     }
 
     fn find(&self, key: &HistogramKey) -> Option<&LengthHistogram> {
@@ -254,14 +260,14 @@
     }
 }
 
-fn expect(
+fn estimate(
     own: Option<&LengthHistogram>,
     all: Option<&LengthHistogram>,
     limit: u32,
     produced: u32,
-) -> Expectation {
+) -> LengthEstimate {
     if produced >= limit {
-        return Expectation {
+        return LengthEstimate {
             mean: 0.0,
             variance: 0.0,
             low: 0.0,
@@ -304,7 +310,7 @@
         };
         remaining((first..BUCKETS).find(covers).unwrap_or(first))
     };
-    Expectation {
+    LengthEstimate {
         mean,
         variance: (squares / weight - mean * mean).max(0.0),
         low: quantile(LOW_QUANTILE),
--- a/lib/src/prefix_index.rs
+++ b/lib/src/prefix_index.rs
@@ -8,8 +8,8 @@
 //! prefix of a request counts as stored as soon as the request is sent, which covers the delay of the
 //! events.
 //!
-//! The index is bounded by [`PREFIXES`] for each server, [`HOLDERS`] for each prefix, and
-//! [`PREFIX_AGE`].
+//! The index is bounded by [`MAX_PREFIXES`] for each server, [`MAX_HOLDERS`] for each prefix, and
+//! [`PREFIX_TTL`].
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -24,15 +24,15 @@
 /// The maximum number of prefixes tracked for each server. An engine's cache holds a few hundred
 /// prefixes of a thousand tokens. With 24 bytes each and 600 servers in an entry's subsets, this takes
 /// less than 8 MB.
-pub const PREFIXES: usize = 512;
+pub const MAX_PREFIXES: usize = 512;
 
 /// The maximum number of servers tracked for each prefix: as many as are worth comparing for one
 /// request.
-pub const HOLDERS: usize = 4;
+pub const MAX_HOLDERS: usize = 4;
 
 /// A prefix expires when it has been neither stored nor used for this long: an engine under load has
 /// reused its memory by then.
-pub const PREFIX_AGE: Duration = Duration::from_secs(300);
+pub const PREFIX_TTL: Duration = Duration::from_secs(300);
 
 /// The prefixes that one server is assumed to hold.
 #[derive(Debug, Default)]
@@ -49,7 +49,7 @@
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     servers: SecondaryMap<ServerKey, ServerPrefixes>,
-    // Each list has at most `HOLDERS` servers and is never empty.
+    // Each list has at most `MAX_HOLDERS` servers and is never empty.
     holders: HashMap<u64, Vec<ServerKey>>,
     gaps: u64,
 }
@@ -62,7 +62,7 @@
 
     /// Applies a cache event. An event with an old sequence number is ignored; a gap clears the server's
     /// index.
-    pub fn event(&mut self, now: Time, server: ServerKey, event: &CacheEvent) {
+    pub fn apply_event(&mut self, now: Time, server: ServerKey, event: &CacheEvent) {
         let Some(entry) = self.servers.entry(server) else {
             return;
         };
@@ -84,7 +84,7 @@
     }
 
     /// Records that a request with this prefix is sent to the server, which will then hold the prefix.
-    pub fn sent(&mut self, now: Time, server: ServerKey, prefix: u64) {
+    pub fn record_request(&mut self, now: Time, server: ServerKey, prefix: u64) {
         if prefix != 0 {
             self.insert(now, server, prefix);
         }
@@ -99,11 +99,11 @@
     pub fn holds(&self, now: Time, server: ServerKey, prefix: u64) -> bool {
         let known = self.servers.get(server);
         let last_used = known.and_then(|h| h.prefixes.get(&prefix));
-        last_used.is_some_and(|at| now.since(*at) < PREFIX_AGE)
+        last_used.is_some_and(|at| now.since(*at) < PREFIX_TTL)
     }
 
     /// Removes a server that left or was restarted.
-    pub fn left(&mut self, server: ServerKey) {
+    pub fn remove_server(&mut self, server: ServerKey) {
         self.clear_server(server);
         self.servers.remove(server);
     }
@@ -136,7 +136,7 @@
         }
         let holders = self.holders.entry(prefix).or_default();
         if !holders.contains(&server) {
-            if holders.len() == HOLDERS {
+            if holders.len() == MAX_HOLDERS {
                 holders.remove(0);
             }
             holders.push(server);
@@ -176,7 +176,7 @@
     /// Evicts the oldest prefixes beyond the bounds and returns them.
     fn evict(&mut self) -> Vec<u64> {
         let mut evicted = Vec::new();
-        while self.prefixes.len() > PREFIXES || self.insertion_order.len() > 4 * PREFIXES {
+        while self.prefixes.len() > MAX_PREFIXES || self.insertion_order.len() > 4 * MAX_PREFIXES {
             let Some((prefix, last_used)) = self.insertion_order.pop_front() else {
                 break;
             };
--- a/lib/src/reach.rs
+++ b/lib/src/reachability.rs
@@ -36,15 +36,15 @@
 
 /// The servers and regions that one entry recently could not reach.
 #[derive(Debug, Default)]
-pub(crate) struct Reach {
+pub(crate) struct ReachTracker {
     servers: SecondaryMap<ServerKey, LossState>,
     // Here `consecutive_losses` counts distinct servers.
     regions: HashMap<Name, LossState>,
 }
 
-impl Reach {
+impl ReachTracker {
     /// Records that a request to the server was lost.
-    pub(crate) fn lost(&mut self, now: Time, server: ServerKey, region: &Name) {
+    pub(crate) fn record_loss(&mut self, now: Time, server: ServerKey, region: &Name) {
         let Some(entry) = self.servers.entry(server) else {
             return;
         };
@@ -68,7 +68,7 @@
     }
 
     /// Records that the server answered.
-    pub(crate) fn answered(&mut self, server: ServerKey, region: &Name) {
+    pub(crate) fn record_answer(&mut self, server: ServerKey, region: &Name) {
         self.servers.remove(server);
         if let Some(lost) = self.regions.get_mut(region) {
             *lost = LossState::default();
@@ -76,12 +76,12 @@
     }
 
     /// Forgets a server that left.
-    pub(crate) fn left(&mut self, server: ServerKey) {
+    pub(crate) fn remove_server(&mut self, server: ServerKey) {
         self.servers.remove(server);
     }
 
     /// Returns whether requests should avoid the server now.
-    pub(crate) fn avoids(&self, now: Time, server: ServerKey) -> bool {
+    pub(crate) fn avoids_server(&self, now: Time, server: ServerKey) -> bool {
         self.servers
             .get(server)
             .is_some_and(|l| now < l.avoid_until)
@@ -101,7 +101,7 @@
 
     /// Records that a request is sent to the server. If it is a probe, other requests keep avoiding the
     /// server and its region meanwhile.
-    pub(crate) fn started(&mut self, now: Time, server: ServerKey, region: &Name) {
+    pub(crate) fn record_start(&mut self, now: Time, server: ServerKey, region: &Name) {
         if let Some(lost) = self.servers.get_mut(server) {
             lost.avoid_until = lost.avoid_until.max(now + PROBE_INTERVAL);
         }
--- a/lib/src/router.rs
+++ b/lib/src/router.rs
@@ -24,7 +24,7 @@
 use crate::outcome::RefusalReason;
 use crate::outcome::RetryReason;
 use crate::prefix_index::PrefixIndex;
-use crate::reach::Reach;
+use crate::reachability::ReachTracker;
 use crate::rendezvous::hash_name;
 use crate::routing::AttemptEnd;
 use crate::routing::AttemptResult;
@@ -54,7 +54,7 @@
     keys: HashMap<Name, ServerKey>,
     services: HashMap<Name, ServiceState>,
     cost: ZoneCost,
-    reach: Reach,
+    reach: ReachTracker,
     prefixes: PrefixIndex,
     rng: fastrand::Rng,
 }
@@ -63,10 +63,10 @@
     /// Creates a router without servers.
     pub fn new(settings: RouterSettings) -> Self {
         let subset_rule = SubsetRule {
-            entry: hash_name(&settings.entry),
+            entry_hash: hash_name(&settings.entry),
             region: settings.region.clone(),
-            local: settings.local_subset,
-            remote: settings.remote_subset,
+            local_size: settings.local_subset,
+            remote_size: settings.remote_subset,
         };
         let cost = ZoneCost::new(
             settings.cost.clone(),
@@ -79,7 +79,7 @@
             keys: HashMap::new(),
             services: HashMap::new(),
             cost,
-            reach: Reach::default(),
+            reach: ReachTracker::default(),
             prefixes: PrefixIndex::new(),
             rng: fastrand::Rng::with_seed(settings.seed),
             settings,
@@ -121,7 +121,7 @@
         view.state = state;
         let service = view.service.clone();
         if state == ServerState::Gone {
-            self.prefixes.left(key);
+            self.prefixes.remove_server(key);
         }
         self.rebuild(now, &service);
     }
@@ -139,7 +139,7 @@
             state.mean.report(&load);
             if is_new && load.running > 0 {
                 let gap = Duration::from_micros(load.token_gap);
-                state.ejector.reported(now, server, gap);
+                state.ejector.record_token_gap(now, server, gap);
             }
         }
         if changed {
@@ -150,7 +150,7 @@
     /// Records an event of a server's prefix cache.
     pub fn cache_event(&mut self, now: Time, server: ServerKey, event: &CacheEvent) {
         if self.servers.contains_key(server) {
-            self.prefixes.event(now, server, event);
+            self.prefixes.apply_event(now, server, event);
         }
     }
 
@@ -182,12 +182,12 @@
         };
         known.load.started(now);
         let view = &known.view;
-        self.reach.started(now, server, &view.region);
+        self.reach.record_start(now, server, &view.region);
         if !self.cost.is_local(view) {
             let region = view.region.clone();
-            self.cost.started(now, &region, request.expected_tokens);
+            self.cost.reserve(now, &region, request.expected_tokens);
         }
-        self.prefixes.sent(now, server, request.prefix);
+        self.prefixes.record_request(now, server, request.prefix);
         if request.tried.is_empty()
             && let Some(service) = self.services.get_mut(request.service)
         {
@@ -201,9 +201,9 @@
         let Some(known) = self.servers.get_mut(server) else {
             return;
         };
-        let waited = waited.saturating_sub(self.cost.trip(&known.view));
+        let waited = waited.saturating_sub(self.cost.round_trip(&known.view));
         known.load.first_token(now, waited);
-        self.reach.answered(server, &known.view.region);
+        self.reach.record_answer(server, &known.view.region);
     }
 
     /// Records the end of an attempt at the server.
@@ -214,14 +214,14 @@
         known.load.finished(now, end.duration, end.first_token);
         let region = known.view.region.clone();
         match end.result {
-            AttemptResult::Lost => self.reach.lost(now, server, &region),
+            AttemptResult::Lost => self.reach.record_loss(now, server, &region),
             AttemptResult::Cancelled => {}
             AttemptResult::Ok | AttemptResult::Refused | AttemptResult::Failed => {
-                self.reach.answered(server, &region);
+                self.reach.record_answer(server, &region);
             }
         }
         if !self.cost.is_local(&known.view) {
-            self.cost.finished(now, &region, end.bytes);
+            self.cost.charge(now, &region, end.bytes);
         }
         if let Some(service) = self.services.get_mut(&known.view.service) {
             service.mean.ended(end.duration);
@@ -261,7 +261,7 @@
     /// Returns the number of ejected servers of a service.
     pub fn ejected(&self, service: &Name) -> usize {
         let service = self.services.get(service);
-        service.map_or(0, |s| s.ejector.ejected())
+        service.map_or(0, |s| s.ejector.ejected_count())
     }
 
     /// Returns every server for the request's model, best first. O(n log n); for diagnostics only.
@@ -292,15 +292,15 @@
         let service = self.services.entry(view.service.clone());
         let service = service.or_insert_with(|| ServiceState::new(&self.settings, now));
         service.members.push(key);
-        service.ejector.joined(now, key, slow_start);
+        service.ejector.add_server(now, key, slow_start);
         true
     }
 
     /// Removes a server from the list and returns the service that it belonged to.
     fn unlist(&mut self, name: &Name) -> Option<Name> {
         let key = self.keys.remove(name)?;
-        self.prefixes.left(key);
-        self.reach.left(key);
+        self.prefixes.remove_server(key);
+        self.reach.remove_server(key);
         let known = &mut self.servers[key];
         known.listed = false;
         known.view.state = ServerState::Gone;
@@ -310,7 +310,7 @@
         }
         if let Some(service) = self.services.get_mut(&name) {
             service.members.retain(|k| *k != key);
-            service.ejector.left(key);
+            service.ejector.remove_server(key);
         }
         Some(name)
     }
@@ -334,7 +334,7 @@
         };
         let service = self.services.get_mut(request.service);
         let pool = service.and_then(|s| s.pools.get_mut(request.model));
-        pool.map_or_else(Vec::new, |pool| pool.order(affinity).to_vec())
+        pool.map_or_else(Vec::new, |pool| pool.keyed_order(affinity).to_vec())
     }
 
     fn selector<'a>(
@@ -367,8 +367,10 @@
         tokens => Some(end.duration / tokens),
     };
     match (end.result, sample) {
-        (AttemptResult::Ok, Some(sample)) => service.ejector.ended(now, server, sample),
-        (AttemptResult::Failed | AttemptResult::Lost, _) => service.ejector.failed(now, server),
+        (AttemptResult::Ok, Some(sample)) => service.ejector.record_success(now, server, sample),
+        (AttemptResult::Failed | AttemptResult::Lost, _) => {
+            service.ejector.record_failure(now, server)
+        }
         _ => {}
     }
 }
--- a/lib/src/scheduler.rs
+++ b/lib/src/scheduler.rs
@@ -20,7 +20,7 @@
 use crate::ids::Name;
 use crate::latency_objective::BatchCap;
 use crate::latency_objective::PrefillPacer;
-use crate::lengths::Lengths;
+use crate::length_predictor::LengthPredictor;
 use crate::load::LoadSummary;
 use crate::memory_plan::MemoryPlan;
 use crate::outcome::NotRun;
@@ -99,7 +99,7 @@
     pub(crate) timeouts: BTreeSet<(Time, JobKey)>,
     pub(crate) queued: usize,
     pub(crate) queued_cost: CostByLength,
-    pub(crate) lengths: Lengths,
+    pub(crate) lengths: LengthPredictor,
     pub(crate) drain_meter: DrainRate,
     pub(crate) wait_correction: WaitCorrection,
     pub(crate) token_gap: TokenGap,
@@ -128,7 +128,7 @@
             timeouts: BTreeSet::new(),
             queued: 0,
             queued_cost: CostByLength::default(),
-            lengths: Lengths::new(),
+            lengths: LengthPredictor::new(),
             drain_meter: DrainRate::default(),
             wait_correction: WaitCorrection::default(),
             token_gap: TokenGap::default(),
--- a/lib/src/scheduler_admission.rs
+++ b/lib/src/scheduler_admission.rs
@@ -28,7 +28,7 @@
         let max_tokens = spec.max_tokens.max(1);
         let expected = self
             .lengths
-            .expect(&spec.workspace, &spec.kind, max_tokens, 0);
+            .estimate(&spec.workspace, &spec.kind, max_tokens, 0);
         let service = self.token_gap.time_for(expected.median);
         let cost =
             self.prompt_cost(spec.prompt_tokens) + (expected.mean * TOKEN_COST as f64) as u64;
--- a/lib/src/scheduler_dispatch.rs
+++ b/lib/src/scheduler_dispatch.rs
@@ -174,7 +174,7 @@
         let tenant = &mut self.tenants[job.tenant];
         job.expected = self
             .lengths
-            .expect(&tenant.name, &job.kind, job.max_tokens, job.produced);
+            .estimate(&tenant.name, &job.kind, job.max_tokens, job.produced);
         job.estimated_at = job.produced;
         let reserved = job.cost_to_reserve();
         let before = std::mem::replace(&mut job.reserved_cost, reserved);
--- a/lib/src/service.rs
+++ b/lib/src/service.rs
@@ -15,8 +15,8 @@
 use crate::routing::ServerView;
 use crate::score::LoadTracker;
 use crate::score::ServiceMean;
-use crate::subset::Member;
 use crate::subset::Pool;
+use crate::subset::PoolMember;
 use crate::subset::SubsetRule;
 use crate::time::Time;
 
@@ -81,7 +81,7 @@
         let members: Vec<ServerKey> = self.members.iter().copied().filter(listed).collect();
         let ready = members.iter().copied().filter(|k| servers[*k].is_ready());
         self.ready = ready.collect();
-        self.ejector.bound(now, self.ready.len());
+        self.ejector.limit_ejected(now, self.ready.len());
         // A model whose servers are all gone keeps its empty pool: it is placed, but has no backend.
         let models = self
             .members
@@ -95,15 +95,15 @@
                 let view = &servers[**key].view;
                 model.as_str().is_empty() || view.models.contains(&model)
             });
-            let members: Vec<Member<'_>> =
+            let members: Vec<PoolMember<'_>> =
                 with_model.map(|key| member(*key, &servers[*key])).collect();
             self.pools.insert(model, Pool::new(rule, &members));
         }
     }
 }
 
-fn member(key: ServerKey, server: &Server) -> Member<'_> {
-    Member {
+fn member(key: ServerKey, server: &Server) -> PoolMember<'_> {
+    PoolMember {
         key,
         hash: server.hash,
         region: &server.view.region,
--- a/lib/src/subset.rs
+++ b/lib/src/subset.rs
@@ -22,7 +22,7 @@
 
 /// The properties of a server that a pool depends on.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Member<'a> {
+pub(crate) struct PoolMember<'a> {
     pub(crate) key: ServerKey,
     pub(crate) hash: u64,
     pub(crate) region: &'a Name,
@@ -51,17 +51,17 @@
 /// Parameters of an entry's subsets: the hash of its name, its region and the subset sizes.
 #[derive(Debug)]
 pub(crate) struct SubsetRule {
-    pub(crate) entry: u64,
+    pub(crate) entry_hash: u64,
     pub(crate) region: Name,
-    pub(crate) local: usize,
-    pub(crate) remote: usize,
+    pub(crate) local_size: usize,
+    pub(crate) remote_size: usize,
 }
 
 impl Pool {
-    pub(crate) fn new(rule: &SubsetRule, members: &[Member<'_>]) -> Self {
+    pub(crate) fn new(rule: &SubsetRule, members: &[PoolMember<'_>]) -> Self {
         let mut regions: HashMap<&Name, Vec<(u64, ServerKey)>> = HashMap::new();
         for member in members.iter().filter(|m| m.ready) {
-            let score = mix(member.hash ^ rule.entry);
+            let score = mix(member.hash ^ rule.entry_hash);
             let region = regions.entry(member.region).or_default();
             region.push((score, member.key));
         }
@@ -71,11 +71,11 @@
         };
         for (region, ranked) in regions {
             if *region == rule.region {
-                pool.local = top_ranked(ranked, rule.local);
+                pool.local = top_ranked(ranked, rule.local_size);
             } else {
                 pool.remote.push(RegionPool {
                     region: region.clone(),
-                    servers: top_ranked(ranked, rule.remote),
+                    servers: top_ranked(ranked, rule.remote_size),
                 });
             }
         }
@@ -85,7 +85,7 @@
     }
 
     /// Returns the servers for a key in order of preference. The order is the same at every entry.
-    pub(crate) fn order(&mut self, affinity: u64) -> &[ServerKey] {
+    pub(crate) fn keyed_order(&mut self, affinity: u64) -> &[ServerKey] {
         let slot = mix(affinity) % HASH_SLOTS;
         let members = &self.members;
         self.keyed_orders
@@ -94,7 +94,7 @@
     }
 
     /// Returns whether the server belongs to this entry's subsets.
-    pub(crate) fn holds(&self, server: ServerKey) -> bool {
+    pub(crate) fn contains(&self, server: ServerKey) -> bool {
         let mut remote = self.remote.iter();
         self.local.contains(&server) || remote.any(|r| r.servers.contains(&server))
     }
--- a/lib/src/suspects.rs
+++ b/lib/src/suspects.rs
@@ -8,13 +8,13 @@
 //! them become suspects. A suspect runs alone the next time, so that a second crash can be attributed
 //! to it and affects no other request. After a second crash, identical requests are refused, and the
 //! requests that were suspect only because of crashes it explains are cleared. A suspect that produces
-//! [`PROBATION`] tokens without a crash is cleared as well, so that a batch of harmless long requests
-//! is not run one by one to the end.
+//! [`PROBATION_TOKENS`] tokens without a crash is cleared as well, so that a batch of harmless long
+//! requests is not run one by one to the end.
 //!
 //! A single crash is no proof, since engines also crash for other reasons. A poison request therefore
-//! costs two servers in each [`LIFETIME`], provided that its copies arrive after the evidence. Copies
-//! that run at the same time cost one server each. To avoid this, entries use the fingerprint of a
-//! suspect as its affinity, so that copies are routed to the same agent.
+//! costs two servers in each [`MARK_LIFETIME`], provided that its copies arrive after the evidence.
+//! Copies that run at the same time cost one server each. To avoid this, entries use the fingerprint
+//! of a suspect as its affinity, so that copies are routed to the same agent.
 //!
 //! The evidence is a set of marks that only grows, so agents and entries may exchange marks in any
 //! order and more than once.
@@ -31,14 +31,14 @@
 /// Tokens that a suspect must produce alone before other requests may run at the same time. Crashes
 /// caused by a prompt occur during prefill; those of the stand-in engines and published ones occur
 /// within the first tokens.
-pub const PROBATION: u32 = 32;
+pub const PROBATION_TOKENS: u32 = 32;
 
 /// How long a mark is valid. A caller that keeps retrying for an hour crashes at most four servers.
-pub const LIFETIME: Duration = Duration::from_secs(30 * 60);
+pub const MARK_LIFETIME: Duration = Duration::from_secs(30 * 60);
 
 /// The maximum number of marks; those of the oldest crash are evicted first. Enough for batches of 256
 /// in 64 crashes within a lifetime; at about 100 bytes each, they take less than 2 MB.
-pub const MARKS: usize = 16_384;
+pub const MAX_MARKS: usize = 16_384;
 
 copy_type! {
     /// A hash of a request's service, model and prompt, equal for identical requests.
@@ -50,9 +50,9 @@
     /// How a request may be run.
     pub enum Verdict {
         /// It may run concurrently with other requests.
-        Free,
+        Allow,
         /// It may run only while no other request does.
-        Alone,
+        Isolate,
         /// It must not run.
         Refuse,
     }
@@ -60,7 +60,7 @@
 
 value_type! {
     /// Evidence that a request was running at a crash. Entries exchange marks between agents.
-    pub struct Mark {
+    pub struct CrashMark {
         /// The fingerprint of the request.
         pub fingerprint: Fingerprint,
         /// The crash.
@@ -99,7 +99,7 @@
     crashes: HashMap<CrashId, Crash>,
     // Crashes in the order in which this process learned of them.
     arrival_order: VecDeque<CrashId>,
-    // The number of marks, at most `MARKS` after each change.
+    // The number of marks, at most `MAX_MARKS` after each change.
     marks: usize,
     // Incremented with every change.
     revision: u64,
@@ -136,10 +136,10 @@
     }
 
     /// Records that the backend server crashed while it was running these requests.
-    pub fn crashed(&mut self, now: Time, crash: CrashId, running: &[Fingerprint]) {
+    pub fn record_crash(&mut self, now: Time, crash: CrashId, running: &[Fingerprint]) {
         let alone = running.len() == 1;
         for fingerprint in running {
-            let mark = Mark {
+            let mark = CrashMark {
                 fingerprint: *fingerprint,
                 crash,
                 alone,
@@ -152,9 +152,9 @@
         self.evict(now);
     }
 
-    /// Records that the request produced [`PROBATION`] tokens or succeeded, in a run that began after
-    /// its crashes.
-    pub fn went_well(&mut self, fingerprint: Fingerprint) {
+    /// Records that the request produced [`PROBATION_TOKENS`] tokens or succeeded, in a run that began
+    /// after its crashes.
+    pub fn record_success(&mut self, fingerprint: Fingerprint) {
         let crashes: Vec<CrashId> = self.crashes_of(fingerprint);
         for crash in crashes {
             self.clear(fingerprint, crash);
@@ -164,13 +164,13 @@
     /// Returns how the request may be run. Takes O(1).
     pub fn verdict(&self, now: Time, fingerprint: Fingerprint) -> Verdict {
         let Some(evidence) = self.requests.get(&fingerprint) else {
-            return Verdict::Free;
+            return Verdict::Allow;
         };
         verdict(evidence.iter().filter(|e| e.counts(now)))
     }
 
     /// Returns the marks that changed after `revision`, for other processes.
-    pub fn marks_since(&self, now: Time, revision: u64) -> Vec<Mark> {
+    pub fn marks_since(&self, now: Time, revision: u64) -> Vec<CrashMark> {
         let requests = self.requests.iter();
         let marks = requests.flat_map(|(fingerprint, evidence)| {
             let changed = evidence.iter().filter(move |e| e.revision > revision);
@@ -185,9 +185,9 @@
     }
 
     /// Merges marks from another process.
-    pub fn learn(&mut self, now: Time, marks: &[Mark]) {
+    pub fn merge(&mut self, now: Time, marks: &[CrashMark]) {
         for mark in marks {
-            if Duration::from_micros(mark.age) < LIFETIME {
+            if Duration::from_micros(mark.age) < MARK_LIFETIME {
                 self.add(now, mark);
             }
         }
@@ -206,7 +206,7 @@
         self.marks == 0
     }
 
-    fn add(&mut self, now: Time, mark: &Mark) {
+    fn add(&mut self, now: Time, mark: &CrashMark) {
         let crashed_at = Time::from_micros(now.micros().saturating_sub(mark.age));
         let evidence = self.requests.entry(mark.fingerprint).or_default();
         if let Some(known) = evidence.iter_mut().find(|e| e.crash == mark.crash) {
@@ -280,8 +280,8 @@
     fn evict(&mut self, now: Time) {
         while let Some(crash) = self.arrival_order.front().copied() {
             let crashed_at = self.crashes.get(&crash).map(|c| c.crashed_at);
-            let expired = crashed_at.is_none_or(|at| now.since(at) >= LIFETIME);
-            if !expired && self.marks <= MARKS {
+            let expired = crashed_at.is_none_or(|at| now.since(at) >= MARK_LIFETIME);
+            if !expired && self.marks <= MAX_MARKS {
                 return;
             }
             self.arrival_order.pop_front();
@@ -309,12 +309,12 @@
 
 impl StoredMark {
     fn counts(&self, now: Time) -> bool {
-        !self.cleared && now.since(self.crashed_at) < LIFETIME
+        !self.cleared && now.since(self.crashed_at) < MARK_LIFETIME
     }
 
-    fn mark(&self, now: Time, fingerprint: Fingerprint) -> Mark {
+    fn mark(&self, now: Time, fingerprint: Fingerprint) -> CrashMark {
         let age = now.since(self.crashed_at).as_micros();
-        Mark {
+        CrashMark {
             fingerprint,
             crash: self.crash,
             alone: self.alone,
@@ -335,9 +335,9 @@
         alone |= mark.alone;
     }
     match crashes {
-        0 => Verdict::Free,
-        1 => Verdict::Alone,
-        2 if !alone => Verdict::Alone,
+        0 => Verdict::Allow,
+        1 => Verdict::Isolate,
+        2 if !alone => Verdict::Isolate,
         _ => Verdict::Refuse,
     }
 }
--- a/lib/src/wire.rs
+++ b/lib/src/wire.rs
@@ -16,7 +16,7 @@
 use crate::load::LoadSummary;
 use crate::outcome::Outcome;
 use crate::platform::HostRecord;
-use crate::suspects::Mark;
+use crate::suspects::CrashMark;
 use crate::value_type;
 
 /// The first bytes of a connection; anything else is no process of this system.
@@ -137,7 +137,7 @@
         /// A heartbeat with a number that the answer repeats.
         Ping(u64),
         /// Evidence on requests that end engines.
-        Marks(Vec<Mark>),
+        Marks(Vec<CrashMark>),
         /// A question between any two processes: the only frame of its connection, answered by a
         /// [`PeerAnswer`].
         Ask(PeerAsk),
@@ -158,7 +158,7 @@
             held: u64,
         },
         /// Evidence on requests that end engines, to take in and pass on.
-        Marks(Vec<Mark>),
+        Marks(Vec<CrashMark>),
     }
 
     /// The answer to a [`PeerAsk`].
@@ -222,7 +222,7 @@
         /// Load, without being asked, as when the agent begins to drain.
         Load(LoadSummary),
         /// Evidence on requests that end engines.
-        Marks(Vec<Mark>),
+        Marks(Vec<CrashMark>),
     }
 }
 
--- a/lib/src/zone_cost.rs
+++ b/lib/src/zone_cost.rs
@@ -17,23 +17,23 @@
 use crate::time::Time;
 
 /// The round trip between availability zones of one region: 1.5 ms each way at Hanshan.
-pub const ZONE_TRIP: Duration = Duration::from_millis(3);
+pub const ZONE_ROUND_TRIP: Duration = Duration::from_millis(3);
 
 /// The round trip between regions: 30 ms each way at both deployments.
-pub const REGION_TRIP: Duration = Duration::from_millis(60);
+pub const REGION_ROUND_TRIP: Duration = Duration::from_millis(60);
 
 /// The wait that a cross-region request must save in addition to its round trip. This is the
 /// hysteresis of the choice of region: regions whose waits differ by less do not exchange work.
-pub const CROSSING_MARGIN: Duration = Duration::from_millis(100);
+pub const CROSS_REGION_MARGIN: Duration = Duration::from_millis(100);
 
 /// The share by which a wait in another region is weighted up. This is the hysteresis when both
 /// regions are overloaded: their waits are then seconds long and differ by more than the margin by
 /// chance.
-pub const CROSSING_PART: f64 = 0.25;
+pub const CROSS_REGION_WAIT_SHARE: f64 = 0.25;
 
 /// The byte budget of each link to another region, 1 MB/s: about 200 streams with 41 ms between tokens
 /// and 200 bytes an event.
-pub const LINK_BYTES: u64 = 1_000_000;
+pub const LINK_BYTES_PER_SECOND: u64 = 1_000_000;
 
 /// The capacity of a link's budget, in seconds of its rate, so that a burst of a few seconds may be
 /// sent over the link.
@@ -50,7 +50,7 @@
     region_round_trip: Duration,
     region_round_trips: HashMap<Name, Duration>,
     margin: Duration,
-    link_bytes: u64,
+    link_bytes_per_second: u64,
 }
 
 impl Default for CostSettings {
@@ -63,22 +63,22 @@
     /// Returns the default costs.
     pub fn new() -> Self {
         CostSettings {
-            zone_round_trip: ZONE_TRIP,
-            region_round_trip: REGION_TRIP,
+            zone_round_trip: ZONE_ROUND_TRIP,
+            region_round_trip: REGION_ROUND_TRIP,
             region_round_trips: HashMap::new(),
-            margin: CROSSING_MARGIN,
-            link_bytes: LINK_BYTES,
+            margin: CROSS_REGION_MARGIN,
+            link_bytes_per_second: LINK_BYTES_PER_SECOND,
         }
     }
 
     /// Sets the round trip to another zone of the local region.
-    pub fn with_zone_trip(mut self, round_trip: Duration) -> Self {
+    pub fn with_zone_round_trip(mut self, round_trip: Duration) -> Self {
         self.zone_round_trip = round_trip;
         self
     }
 
     /// Sets the round trip from the local region to `region`.
-    pub fn with_region_trip(mut self, region: Name, round_trip: Duration) -> Self {
+    pub fn with_region_round_trip(mut self, region: Name, round_trip: Duration) -> Self {
         self.region_round_trips.insert(region, round_trip);
         self
     }
@@ -90,11 +90,11 @@
     }
 
     /// The share by which a wait in another region is weighted up.
-    pub const CROSSING_PART: f64 = 0.25;
+    pub const CROSS_REGION_WAIT_SHARE: f64 = 0.25;
 
     /// Sets the budget of each link to another region, in bytes per second.
-    pub fn with_link_bytes(mut self, bytes: u64) -> Self {
-        self.link_bytes = bytes;
+    pub fn with_link_bytes_per_second(mut self, bytes: u64) -> Self {
+        self.link_bytes_per_second = bytes;
         self
     }
 }
@@ -135,7 +135,7 @@
     }
 
     /// Returns the round trip to the server.
-    pub(crate) fn trip(&self, view: &ServerView) -> Duration {
+    pub(crate) fn round_trip(&self, view: &ServerView) -> Duration {
         if !self.is_local(view) {
             let round_trip = self.settings.region_round_trips.get(&view.region);
             return round_trip
@@ -151,32 +151,32 @@
 
     /// Returns the cost in microseconds: the round trip, and for a server in another region also the
     /// margin and a share of the wait there.
-    pub(crate) fn distance(&self, view: &ServerView, wait: f64) -> f64 {
-        let round_trip = self.trip(view).as_micros() as f64;
+    pub(crate) fn network_cost(&self, view: &ServerView, wait: f64) -> f64 {
+        let round_trip = self.round_trip(view).as_micros() as f64;
         if self.is_local(view) {
             round_trip
         } else {
-            round_trip + self.settings.margin.as_micros() as f64 + wait * CROSSING_PART
+            round_trip + self.settings.margin.as_micros() as f64 + wait * CROSS_REGION_WAIT_SHARE
         }
     }
 
     /// Returns whether the budget of the link to `region` exceeds what is reserved for open requests.
     pub(crate) fn has_budget(&self, now: Time, region: &Name) -> bool {
         let Some(link) = self.links.get(region) else {
-            return self.settings.link_bytes > 0;
+            return self.settings.link_bytes_per_second > 0;
         };
         self.available(now, link) > link.reserved_bytes
     }
 
     /// Reserves the bytes that a request is expected to transfer.
-    pub(crate) fn started(&mut self, now: Time, region: &Name, tokens: u32) {
+    pub(crate) fn reserve(&mut self, now: Time, region: &Name, tokens: u32) {
         let link = self.refill(now, region);
         link.reserved_bytes += expected_bytes(tokens);
         link.open_requests += 1;
     }
 
     /// Charges the transferred bytes, and releases the reservation of one open request.
-    pub(crate) fn finished(&mut self, now: Time, region: &Name, bytes: u64) {
+    pub(crate) fn charge(&mut self, now: Time, region: &Name, bytes: u64) {
         let link = self.refill(now, region);
         link.available_bytes -= bytes as f64;
         link.reserved_bytes -= link.reserved_bytes / f64::from(link.open_requests.max(1));
@@ -193,12 +193,13 @@
     }
 
     fn available(&self, now: Time, link: &LinkBudget) -> f64 {
-        let refilled = now.since(link.refilled_at).as_secs_f64() * self.settings.link_bytes as f64;
+        let refilled =
+            now.since(link.refilled_at).as_secs_f64() * self.settings.link_bytes_per_second as f64;
         (link.available_bytes + refilled).min(self.capacity())
     }
 
     fn capacity(&self) -> f64 {
-        self.settings.link_bytes as f64 * BURST_SECONDS
+        self.settings.link_bytes_per_second as f64 * BURST_SECONDS
     }
 }
 
--- a/lib/tests/spread.rs
+++ b/lib/tests/config_pull.rs
@@ -4,17 +4,17 @@
 
 use cicada_lib::config_apply::ConfigMark;
 use cicada_lib::config_chunks::root_digest;
+use cicada_lib::config_pull::ConfigPuller;
+use cicada_lib::config_pull::PullContext;
+use cicada_lib::config_pull::PullSource;
 use cicada_lib::ids::Name;
 use cicada_lib::ids::Version;
 use cicada_lib::membership::ConfigSeen;
 use cicada_lib::platform::HostRole;
 use cicada_lib::roster::Member;
-use cicada_lib::spread::Pull;
-use cicada_lib::spread::Spread;
-use cicada_lib::spread::SpreadView;
 use cicada_lib::time::Time;
 
-const NOTHING: SpreadView = SpreadView {
+const NOTHING: PullContext = PullContext {
     own: None,
     seen: None,
     watcher: false,
@@ -38,8 +38,8 @@
     }
 }
 
-fn spread(rng: &mut fastrand::Rng) -> Spread {
-    Spread::new(Time::ZERO, Name::new("north"), Name::new("north-1"), rng)
+fn new_puller(rng: &mut fastrand::Rng) -> ConfigPuller {
+    ConfigPuller::new(Time::ZERO, Name::new("north"), Name::new("north-1"), rng)
 }
 
 /// All 1,370 processes start at once and none has a configuration. If each read the store immediately,
@@ -48,19 +48,19 @@
 #[test]
 fn a_mass_start_spreads_reads_of_the_store() {
     let mut rng = fastrand::Rng::with_seed(1);
-    let mut all: Vec<_> = (0..1_370).map(|_| spread(&mut rng)).collect();
+    let mut all: Vec<_> = (0..1_370).map(|_| new_puller(&mut rng)).collect();
     let mut most = 0;
     let mut total = 0;
     for second in 0..12 {
         let mut reads = 0;
         for step in 0..10 {
             let now = Time::from_millis(second * 1_000 + step * 100);
-            for (number, spread) in all.iter_mut().enumerate() {
+            for (number, puller) in all.iter_mut().enumerate() {
                 let watcher = number < 20;
-                let view = SpreadView { watcher, ..NOTHING };
-                if spread.next(now, view, &mut rng).is_some() {
+                let view = PullContext { watcher, ..NOTHING };
+                if puller.next_pull(now, view, &mut rng).is_some() {
                     reads += 1;
-                    spread.done(now, true, &mut rng);
+                    puller.record_result(now, true, &mut rng);
                 }
             }
         }
@@ -77,7 +77,7 @@
 #[test]
 fn near_peers_are_tried_first_and_the_store_last() {
     let mut rng = fastrand::Rng::with_seed(2);
-    let mut spread = spread(&mut rng);
+    let mut puller = new_puller(&mut rng);
     let seen = ConfigSeen {
         mark: mark(2),
         holders: vec![
@@ -88,7 +88,7 @@
         ],
     };
     let own = mark(1);
-    let view = SpreadView {
+    let view = PullContext {
         own: Some(&own),
         seen: Some(&seen),
         watcher: false,
@@ -96,14 +96,14 @@
     let mut pulls = Vec::new();
     for step in 0..80 {
         let now = Time::from_millis(1_000 + step * 100);
-        if let Some(pull) = spread.next(now, view, &mut rng) {
+        if let Some(pull) = puller.next_pull(now, view, &mut rng) {
             pulls.push(pull);
-            spread.done(now, false, &mut rng);
+            puller.record_result(now, false, &mut rng);
         }
     }
-    let zone = |pull: &Pull| match pull {
-        Pull::Peer(member) => member.zone.as_str().to_owned(),
-        Pull::Store => "store".to_owned(),
+    let zone = |pull: &PullSource| match pull {
+        PullSource::Peer(member) => member.zone.as_str().to_owned(),
+        PullSource::Store => "store".to_owned(),
     };
     let zones: Vec<_> = pulls.iter().map(zone).collect();
     assert_eq!(zones[..4], ["north-1", "north-1", "north-2", "store"]);
@@ -115,19 +115,19 @@
 #[test]
 fn nothing_is_pulled_for_a_version_that_is_not_newer() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let mut spread = spread(&mut rng);
+    let mut puller = new_puller(&mut rng);
     let own = mark(5);
     for version in [4, 5] {
         let seen = ConfigSeen {
             mark: mark(version),
             holders: vec![member(1, "north", "north-1")],
         };
-        let view = SpreadView {
+        let view = PullContext {
             own: Some(&own),
             seen: Some(&seen),
             watcher: false,
         };
-        let pull = spread.next(Time::from_millis(20_000), view, &mut rng);
+        let pull = puller.next_pull(Time::from_millis(20_000), view, &mut rng);
         assert_eq!(pull, None);
     }
 }
@@ -137,19 +137,19 @@
 #[test]
 fn a_process_polls_the_store_without_gossip() {
     let mut rng = fastrand::Rng::with_seed(4);
-    let mut spread = spread(&mut rng);
+    let mut puller = new_puller(&mut rng);
     let own = mark(5);
-    let view = SpreadView {
+    let view = PullContext {
         own: Some(&own),
         ..NOTHING
     };
     let polls = (0..900).filter(|second| {
         let now = Time::ZERO + Duration::from_secs(*second);
-        let pull = spread.next(now, view, &mut rng);
+        let pull = puller.next_pull(now, view, &mut rng);
         if pull.is_some() {
-            spread.done(now, true, &mut rng);
+            puller.record_result(now, true, &mut rng);
         }
-        pull == Some(Pull::Store)
+        pull == Some(PullSource::Store)
     });
     let polls = polls.count();
     assert!((3..=9).contains(&polls), "{polls} in 15 minutes");
--- a/lib/tests/ejection.rs
+++ b/lib/tests/ejection.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use cicada_lib::ejection::BASE_EJECTION_TIME;
 use cicada_lib::ejection::EjectionSettings;
 use cicada_lib::ejection::Ejector;
-use cicada_lib::ejection::FIRST_STAY;
 use cicada_lib::ejection::SLOW_START;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::time::Time;
@@ -23,7 +23,7 @@
         let mut ejector = Ejector::new(EjectionSettings::new());
         let keys: Vec<ServerKey> = (0..count).map(|_| map.insert(())).collect();
         for key in &keys {
-            ejector.joined(Time::ZERO, *key, false);
+            ejector.add_server(Time::ZERO, *key, false);
         }
         Servers {
             ejector,
@@ -38,10 +38,11 @@
         for (key, millis) in self.keys.iter().zip(millis) {
             for _ in 0..20 {
                 match millis {
-                    0 => self.ejector.failed(self.now, *key),
-                    _ => self
-                        .ejector
-                        .ended(self.now, *key, Duration::from_millis(*millis)),
+                    0 => self.ejector.record_failure(self.now, *key),
+                    _ => {
+                        self.ejector
+                            .record_success(self.now, *key, Duration::from_millis(*millis))
+                    }
                 }
             }
         }
@@ -96,16 +97,19 @@
     while servers.ejector.is_ejected(key) {
         servers.run_second(&[40, 45, 0, 38, 50]);
     }
-    assert_eq!(servers.now.since(first), FIRST_STAY);
-    let part = servers.ejector.part(servers.now, key);
-    assert!(part < 0.2, "{part}");
-    assert_eq!(servers.ejector.part(servers.now + SLOW_START, key), 1.0);
+    assert_eq!(servers.now.since(first), BASE_EJECTION_TIME);
+    let share = servers.ejector.load_share(servers.now, key);
+    assert!(share < 0.2, "{share}");
+    assert_eq!(
+        servers.ejector.load_share(servers.now + SLOW_START, key),
+        1.0
+    );
     servers.run_second(&[40, 45, 200, 38, 50]);
     let second = servers.now;
     while servers.ejector.is_ejected(key) {
         servers.run_second(&[40, 45, 200, 38, 50]);
     }
-    assert_eq!(servers.now.since(second), 2 * FIRST_STAY);
+    assert_eq!(servers.now.since(second), 2 * BASE_EJECTION_TIME);
 }
 
 #[test]
@@ -113,7 +117,7 @@
     // Four of five servers leave while the fifth is ejected. A slow server is better than none.
     let mut servers = Servers::new(5);
     servers.run_second(&[40, 45, 200, 38, 50]);
-    servers.ejector.bound(servers.now, 1);
+    servers.ejector.limit_ejected(servers.now, 1);
     assert!(servers.ejected().is_empty());
 }
 
@@ -128,7 +132,7 @@
             servers.run_second(&cycle.take(size).collect::<Vec<_>>());
             let most = (size / 5).max(1);
             if servers.ejected().len() > most
-                || servers.ejected().len() != servers.ejector.ejected()
+                || servers.ejected().len() != servers.ejector.ejected_count()
             {
                 return false;
             }
--- a/lib/tests/prefix_index.rs
+++ b/lib/tests/prefix_index.rs
@@ -1,9 +1,9 @@
 //! Tests of the prefix index, which is built from cache events that arrive late and with gaps.
 
 use cicada_lib::backend::CacheEvent;
-use cicada_lib::prefix_index::HOLDERS;
-use cicada_lib::prefix_index::PREFIX_AGE;
-use cicada_lib::prefix_index::PREFIXES;
+use cicada_lib::prefix_index::MAX_HOLDERS;
+use cicada_lib::prefix_index::MAX_PREFIXES;
+use cicada_lib::prefix_index::PREFIX_TTL;
 use cicada_lib::prefix_index::PrefixIndex;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::time::Time;
@@ -30,9 +30,9 @@
     let keys = keys(2);
     let mut index = PrefixIndex::new();
     for key in &keys {
-        index.event(Time::ZERO, *key, &event(1, 7, true));
+        index.apply_event(Time::ZERO, *key, &event(1, 7, true));
     }
-    index.event(Time::ZERO, keys[0], &event(5, 8, true));
+    index.apply_event(Time::ZERO, keys[0], &event(5, 8, true));
     assert!(!index.holds(Time::ZERO, keys[0], 7));
     assert!(index.holds(Time::ZERO, keys[0], 8));
     assert!(index.holds(Time::ZERO, keys[1], 7));
@@ -43,8 +43,8 @@
 fn old_events_are_ignored() {
     let key = keys(1)[0];
     let mut index = PrefixIndex::new();
-    index.event(Time::ZERO, key, &event(2, 7, true));
-    index.event(Time::ZERO, key, &event(1, 7, false));
+    index.apply_event(Time::ZERO, key, &event(2, 7, true));
+    index.apply_event(Time::ZERO, key, &event(1, 7, false));
     assert!(index.holds(Time::ZERO, key, 7));
 }
 
@@ -52,9 +52,9 @@
 fn a_sent_prefix_counts_before_its_event_and_expires() {
     let key = keys(1)[0];
     let mut index = PrefixIndex::new();
-    index.sent(Time::ZERO, key, 7);
+    index.record_request(Time::ZERO, key, 7);
     assert!(index.holds(Time::ZERO, key, 7));
-    assert!(!index.holds(Time::ZERO + PREFIX_AGE, key, 7));
+    assert!(!index.holds(Time::ZERO + PREFIX_TTL, key, 7));
 }
 
 #[test]
@@ -68,9 +68,9 @@
             // Some steps skip a sequence number.
             sequence += if which % 16 == 0 { 2 } else { 1 };
             let prefix = u64::from(*prefix % 64) + 1;
-            index.event(Time::ZERO, key, &event(sequence, prefix, *stored));
+            index.apply_event(Time::ZERO, key, &event(sequence, prefix, *stored));
             let holders = index.holders(prefix);
-            if holders.len() > HOLDERS || index.len() > 8 * PREFIXES {
+            if holders.len() > MAX_HOLDERS || index.len() > 8 * MAX_PREFIXES {
                 return false;
             }
             if !holders.iter().all(|k| index.holds(Time::ZERO, *k, prefix)) {
@@ -88,11 +88,11 @@
 fn the_oldest_prefixes_of_a_full_server_are_evicted() {
     let key = keys(1)[0];
     let mut index = PrefixIndex::new();
-    let count = PREFIXES as u64 + 10;
+    let count = MAX_PREFIXES as u64 + 10;
     for prefix in 1..=count {
-        index.sent(Time::from_millis(prefix), key, prefix);
+        index.record_request(Time::from_millis(prefix), key, prefix);
     }
-    assert_eq!(index.len(), PREFIXES);
+    assert_eq!(index.len(), MAX_PREFIXES);
     assert!(!index.holds(Time::from_millis(count), key, 10));
     assert!(index.holds(Time::from_millis(count), key, 11));
     assert!(index.holders(10).is_empty());
--- a/lib/tests/routing.rs
+++ b/lib/tests/routing.rs
@@ -181,7 +181,7 @@
 #[test]
 fn a_link_over_budget_is_used_only_if_no_other_server_is_left() {
     let target = Target::new();
-    let cost = CostSettings::new().with_link_bytes(10);
+    let cost = CostSettings::new().with_link_bytes_per_second(10);
     let mut router = with_settings(settings("north").with_cost(cost), 1, 1);
     let near = router.key(&Name::new("north-0")).unwrap();
     let far = router.key(&Name::new("south-0")).unwrap();
--- a/lib/tests/scheduling_parts.rs
+++ b/lib/tests/scheduling_parts.rs
@@ -7,7 +7,7 @@
 use cicada_lib::admission::WaitCorrection;
 use cicada_lib::ids::Name;
 use cicada_lib::latency_objective::BatchCap;
-use cicada_lib::lengths::Lengths;
+use cicada_lib::length_predictor::LengthPredictor;
 use cicada_lib::memory_plan::Headroom;
 use cicada_lib::memory_plan::MemoryPlan;
 use cicada_lib::memory_plan::VictimCandidate;
@@ -17,21 +17,21 @@
 
 #[test]
 fn unknown_workspace_uses_lengths_of_the_kind() {
-    let (kind, mut lengths) = (Name::new("model"), Lengths::new());
-    let cold = lengths.expect(&Name::new("new"), &kind, 1_000, 0);
+    let (kind, mut lengths) = (Name::new("model"), LengthPredictor::new());
+    let cold = lengths.estimate(&Name::new("new"), &kind, 1_000, 0);
     assert!((50.0..400.0).contains(&cold.mean), "{cold:?}");
     for _ in 0..50 {
         lengths.observe(&Name::new("other"), &kind, 1_000, 30);
     }
-    let from_kind = lengths.expect(&Name::new("new"), &kind, 1_000, 0);
+    let from_kind = lengths.estimate(&Name::new("new"), &kind, 1_000, 0);
     assert!((25.0..70.0).contains(&from_kind.mean), "{from_kind:?}");
     for _ in 0..50 {
         lengths.observe(&Name::new("new"), &kind, 1_000, 600);
     }
-    let own = lengths.expect(&Name::new("new"), &kind, 1_000, 0);
+    let own = lengths.estimate(&Name::new("new"), &kind, 1_000, 0);
     assert!(own.mean > 400.0, "{own:?}");
     // Beyond all observed lengths, the estimate stays between one token and the limit.
-    let beyond = lengths.expect(&Name::new("new"), &kind, 1_000, 900);
+    let beyond = lengths.estimate(&Name::new("new"), &kind, 1_000, 900);
     assert!(beyond.mean >= 1.0 && beyond.mean <= 100.0, "{beyond:?}");
 }
 
@@ -39,14 +39,14 @@
 // for a long time unless the change is detected.
 #[test]
 fn drift_is_detected_within_twenty_generations() {
-    let (name, kind, mut lengths) = (Name::new("w"), Name::new("model"), Lengths::new());
+    let (name, kind, mut lengths) = (Name::new("w"), Name::new("model"), LengthPredictor::new());
     for index in 0..500 {
         lengths.observe(&name, &kind, 1_000, 40 + index % 20);
     }
     for index in 0..20 {
         lengths.observe(&name, &kind, 1_000, 400 + index);
     }
-    let mean = lengths.expect(&name, &kind, 1_000, 0).mean;
+    let mean = lengths.estimate(&name, &kind, 1_000, 0).mean;
     assert!(mean > 300.0, "{mean}");
 }
 
--- a/lib/tests/suspects.rs
+++ b/lib/tests/suspects.rs
@@ -2,10 +2,10 @@
 
 use cicada_lib::ids::Name;
 use cicada_lib::suspects::CrashId;
+use cicada_lib::suspects::CrashMark;
 use cicada_lib::suspects::Fingerprint;
-use cicada_lib::suspects::LIFETIME;
-use cicada_lib::suspects::MARKS;
-use cicada_lib::suspects::Mark;
+use cicada_lib::suspects::MARK_LIFETIME;
+use cicada_lib::suspects::MAX_MARKS;
 use cicada_lib::suspects::Suspects;
 use cicada_lib::suspects::Verdict;
 use cicada_lib::time::Time;
@@ -39,27 +39,27 @@
         let mut running = vec![request];
         match self.agents[agent].verdict(self.now, request) {
             Verdict::Refuse => return true,
-            Verdict::Alone => {}
-            Verdict::Free => running.extend(others),
+            Verdict::Isolate => {}
+            Verdict::Allow => running.extend(others),
         }
         if running.contains(&POISON) {
             self.crashes += 1;
             let crash = CrashId(self.crashes);
-            self.agents[agent].crashed(self.now, crash, &running);
+            self.agents[agent].record_crash(self.now, crash, &running);
         } else {
-            self.agents[agent].went_well(request);
+            self.agents[agent].record_success(request);
         }
         false
     }
 
     fn exchange_marks(&mut self) {
-        let all: Vec<Mark> = self
+        let all: Vec<CrashMark> = self
             .agents
             .iter()
             .flat_map(|a| a.marks_since(self.now, 0))
             .collect();
         for agent in &mut self.agents {
-            agent.learn(self.now, &all);
+            agent.merge(self.now, &all);
         }
     }
 }
@@ -89,7 +89,7 @@
     fleet.run(0, POISON, &others);
     fleet.exchange_marks();
     let now = fleet.now;
-    assert_eq!(fleet.agents[2].verdict(now, others[7]), Verdict::Alone);
+    assert_eq!(fleet.agents[2].verdict(now, others[7]), Verdict::Isolate);
     fleet.run(1, POISON, &others);
     fleet.exchange_marks();
     for agent in &fleet.agents {
@@ -97,7 +97,7 @@
         assert!(
             others
                 .iter()
-                .all(|f| agent.verdict(now, *f) == Verdict::Free)
+                .all(|f| agent.verdict(now, *f) == Verdict::Allow)
         );
     }
 }
@@ -110,10 +110,13 @@
     fleet.exchange_marks();
     fleet.run(1, others[0], &[]);
     fleet.exchange_marks();
-    assert_eq!(fleet.agents[2].verdict(fleet.now, others[0]), Verdict::Free);
+    assert_eq!(
+        fleet.agents[2].verdict(fleet.now, others[0]),
+        Verdict::Allow
+    );
     assert_eq!(
         fleet.agents[2].verdict(fleet.now, others[1]),
-        Verdict::Alone
+        Verdict::Isolate
     );
 }
 
@@ -122,31 +125,31 @@
     // Engines also crash for other reasons. A request that was the only one running at such a crash
     // must get another attempt.
     let mut suspects = Suspects::new();
-    suspects.crashed(Time::ZERO, CrashId(1), &[POISON]);
-    assert_eq!(suspects.verdict(Time::ZERO, POISON), Verdict::Alone);
+    suspects.record_crash(Time::ZERO, CrashId(1), &[POISON]);
+    assert_eq!(suspects.verdict(Time::ZERO, POISON), Verdict::Isolate);
 }
 
 #[test]
 fn a_mark_received_twice_counts_once() {
     let mut suspects = Suspects::new();
-    suspects.crashed(Time::ZERO, CrashId(1), &[POISON]);
+    suspects.record_crash(Time::ZERO, CrashId(1), &[POISON]);
     let marks = suspects.marks_since(Time::ZERO, 0);
-    suspects.learn(Time::ZERO, &marks);
-    suspects.learn(Time::ZERO, &marks);
-    assert_eq!(suspects.verdict(Time::ZERO, POISON), Verdict::Alone);
+    suspects.merge(Time::ZERO, &marks);
+    suspects.merge(Time::ZERO, &marks);
+    assert_eq!(suspects.verdict(Time::ZERO, POISON), Verdict::Isolate);
     assert_eq!(suspects.len(), 1);
 }
 
 #[test]
 fn evidence_expires_and_is_bounded() {
     let mut suspects = Suspects::new();
-    suspects.crashed(Time::ZERO, CrashId(1), &[POISON]);
-    let later = Time::ZERO + LIFETIME;
-    assert_eq!(suspects.verdict(later, POISON), Verdict::Free);
+    suspects.record_crash(Time::ZERO, CrashId(1), &[POISON]);
+    let later = Time::ZERO + MARK_LIFETIME;
+    assert_eq!(suspects.verdict(later, POISON), Verdict::Allow);
     for crash in 2..200 {
         let running = batch(u128::from(crash) * 1_000, 300);
-        suspects.crashed(later, CrashId(crash), &running);
-        assert!(suspects.len() <= MARKS);
+        suspects.record_crash(later, CrashId(crash), &running);
+        assert!(suspects.len() <= MAX_MARKS);
     }
 }
 
@@ -167,9 +170,9 @@
         for (i, (who, alone)) in crashes.iter().enumerate() {
             let who = u128::from(who % 4);
             let running = if *alone { batch(who, 1) } else { batch(who, 3) };
-            first.crashed(now, CrashId(i as u64), &running);
+            first.record_crash(now, CrashId(i as u64), &running);
             if who == 3 {
-                first.went_well(Fingerprint(3));
+                first.record_success(Fingerprint(3));
             }
         }
         let mut marks = first.marks_since(now, 0);
@@ -181,7 +184,7 @@
         }
         let mut second = Suspects::new();
         for mark in &marks {
-            second.learn(now, std::slice::from_ref(mark));
+            second.merge(now, std::slice::from_ref(mark));
         }
         (0..8).all(|f| first.verdict(now, Fingerprint(f)) == second.verdict(now, Fingerprint(f)))
     }
@@ -194,12 +197,12 @@
 fn a_mark_expires_at_the_same_moment_on_clocks_with_different_origins() {
     // Marks carry ages rather than times, since the clocks of two processes have different origins.
     let mut agent = Suspects::new();
-    agent.crashed(Time::from_millis(10_000_000), CrashId(1), &[POISON]);
+    agent.record_crash(Time::from_millis(10_000_000), CrashId(1), &[POISON]);
     let sent_at = Time::from_millis(10_060_000);
     let mut entry = Suspects::new();
-    entry.learn(Time::from_millis(100_000), &agent.marks_since(sent_at, 0));
-    let end = Time::from_millis(40_000) + LIFETIME;
-    assert_eq!(entry.verdict(end, POISON), Verdict::Free);
-    let before = Time::from_millis(39_000) + LIFETIME;
-    assert_eq!(entry.verdict(before, POISON), Verdict::Alone);
+    entry.merge(Time::from_millis(100_000), &agent.marks_since(sent_at, 0));
+    let end = Time::from_millis(40_000) + MARK_LIFETIME;
+    assert_eq!(entry.verdict(end, POISON), Verdict::Allow);
+    let before = Time::from_millis(39_000) + MARK_LIFETIME;
+    assert_eq!(entry.verdict(before, POISON), Verdict::Isolate);
 }
