--- a/relay/src/awake.rs
+++ b/relay/src/awake.rs
@@ -1,4 +1,5 @@
-//! A relay that has just woken waits for word of what holds. See `cicada_lib::freeze_detector`.
+//! Holds back requests after this process was frozen, until its state is confirmed to be current. See
+//! `cicada_lib::freeze_detector`.
 
 use std::time::Duration;
 
@@ -7,12 +8,12 @@
 
 use crate::relay::Relay;
 
-/// How often a request that waits for the process to be sure looks again.
-const SURE_PAUSE: Duration = Duration::from_millis(15);
+/// Interval at which a waiting request checks again whether the state is confirmed.
+const CONFIRMATION_POLL: Duration = Duration::from_millis(15);
 
 impl Relay {
-    /// Notes that this process runs, and that it woke where it has stood still.
-    pub(crate) fn note_runs(&self) {
+    /// Records that this process is running, and logs if it was frozen since the last call.
+    pub(crate) fn record_heartbeat(&self) {
         let stood = self.freeze_detector().heartbeat(self.now());
         if let Some(stood) = stood {
             let stood = stood.as_millis() as u64;
@@ -20,23 +21,23 @@
             tracing::warn!(
                 stood,
                 version,
-                "process: stood still, others are asked what holds"
+                "process: stood still; requests wait until its state is confirmed"
             );
         }
     }
 
-    /// Another process has told what it knows, up to these versions.
-    pub(crate) fn note_told(&self, version: u64, revision: Revision) {
+    /// Records that another process reported the versions that it knows.
+    pub(crate) fn record_peer_versions(&self, version: u64, revision: Revision) {
         if self.version() >= version && self.revision() >= revision {
             self.freeze_detector().state_received(self.now());
         }
     }
 
-    /// Waits until this process may act on what it knows, where it has just stood still.
-    pub(crate) async fn sure(&self) {
-        self.note_runs();
+    /// Waits until this process may act on its state, if it was frozen a moment ago.
+    pub(crate) async fn wait_until_confirmed(&self) {
+        self.record_heartbeat();
         while !self.freeze_detector().is_state_confirmed(self.now()) {
-            sleep(SURE_PAUSE).await;
+            sleep(CONFIRMATION_POLL).await;
         }
     }
 }
--- a/relay/src/engine_words.rs
+++ b/relay/src/engine_words.rs
@@ -1,4 +1,4 @@
-//! What scouts tell a relay of their engines.
+//! Applies what scouts report of their engines to a relay's state.
 
 use cicada_lib::peer_words::EngineHere;
 use cicada_lib::peer_words::EngineIdentity;
@@ -9,26 +9,26 @@
 use crate::relay::Relay;
 
 impl Relay {
-    /// Takes a report of an engine.
-    pub(crate) fn report(&self, report: &ScoutReport) {
-        let load = self.heeded(&report.load);
-        let turned = self.fleet().apply_report(self.now(), &report.here, &load);
-        self.note_turned(turned, report);
+    /// Applies a load report.
+    pub(crate) fn handle_report(&self, report: &ScoutReport) {
+        let load = self.effective_load(&report.load);
+        let started_leaving = self.fleet().apply_report(self.now(), &report.here, &load);
+        self.handle_leaving(started_leaving, report);
     }
 
-    /// Takes a scout's answer.
-    pub(crate) fn load_answer(&self, answer: &LoadAnswer) {
+    /// Applies the answer to a load probe.
+    pub(crate) fn handle_load_answer(&self, answer: &LoadAnswer) {
         let report = &answer.report;
-        let load = self.heeded(&report.load);
-        let turned = self
+        let load = self.effective_load(&report.load);
+        let started_leaving = self
             .fleet()
             .apply_load_answer(self.now(), &report.here, &load);
-        self.note_turned(turned, report);
+        self.handle_leaving(started_leaving, report);
         self.asks().answered(answer);
     }
 
-    /// The load as far as the settings let it count.
-    fn heeded(&self, load: &EngineLoad) -> EngineLoad {
+    /// The reported load, without the failure rate if the settings disable avoiding failing engines.
+    fn effective_load(&self, load: &EngineLoad) -> EngineLoad {
         let failing = if self.policy().avoid { load.failing } else { 0 };
         EngineLoad {
             failing,
@@ -36,34 +36,35 @@
         }
     }
 
-    fn note_turned(&self, turned: bool, report: &ScoutReport) {
-        if turned {
+    fn handle_leaving(&self, started_leaving: bool, report: &ScoutReport) {
+        if started_leaving {
             let ScoutReport { here, load } = report;
-            tracing::info!(engine = %here.address, leaves = ?load.leaves, "fleet: an engine says that it leaves");
+            tracing::info!(engine = %here.address, leaves = ?load.leaves, "fleet: an engine leaves");
             self.note_leaving();
         }
     }
 
-    /// A scout says who its engine is.
-    pub(crate) fn engine_identity(&self, word: &EngineIdentity) {
-        let (here, id) = (&word.here, &word.id);
+    /// Applies the identifier of an engine's current incarnation.
+    pub(crate) fn handle_identity(&self, identity: &EngineIdentity) {
+        let (here, id) = (&identity.here, &identity.id);
         if self.fleet().apply_identity(self.now(), here, id) {
             let address = here.address;
             tracing::info!(engine = %address, server = %id, "fleet: a scout names another life of its engine");
         }
     }
 
-    /// A scout says that its engine is there; whether that is news. Heeded only while the directory is out of
-    /// reach: otherwise it tells of the engine, and of its identifier, itself.
-    pub(crate) fn engine_here(&self, here: &EngineHere) -> bool {
+    /// Applies the announcement of an engine, and returns whether the engine is new to this relay. Ignored
+    /// unless the directory is unreachable: otherwise the directory lists the engine together with its
+    /// identifier.
+    pub(crate) fn handle_announcement(&self, here: &EngineHere) -> bool {
         if !self.is_out_of_reach() || !self.table().services().contains_key(&here.service) {
             return false;
         }
         let now = self.now();
-        let news = self.fleet().add_announced(now, here);
-        if news {
+        let is_new = self.fleet().add_announced(now, here);
+        if is_new {
             tracing::info!(engine = %here.address, service = %here.service, "fleet: a scout says that its engine is there");
         }
-        news
+        is_new
     }
 }
--- a/relay/src/exchange.rs
+++ b/relay/src/exchange.rs
@@ -174,7 +174,7 @@
 async fn read(relay: &Relay, request: Request<Incoming>) -> Result<Call, OwnAnswer> {
     let arrived = Instant::now();
     let came = relay.now();
-    relay.sure().await;
+    relay.wait_until_confirmed().await;
     let table = relay.table();
     if !table.has_config() {
         relay.figures().refusal("no_config");
--- a/relay/src/identity.rs
+++ b/relay/src/identity.rs
@@ -1,8 +1,8 @@
-//! Under which identifier the scout's engine lives.
+//! The identifier of the current incarnation of the scout's engine.
 //!
-//! An engine that has crashed is back under another identifier, and the directory names the former one
-//! until that lapses. The engine names itself at its health path, which waits for a place like any other
-//! request: it is asked once in a life.
+//! After a crash an engine comes back under another identifier, while the directory lists the former one
+//! until its record expires. The scout reads the identifier from the engine's health path. A health request
+//! waits for a slot at the engine like any other request, so it is sent only once per incarnation.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,93 +15,98 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How long to wait after a question before the next one: an engine that has just come may be cold.
-const PAUSE: Duration = Duration::from_millis(700);
+/// Minimum delay between two queries: an engine that has just started may be cold.
+const RETRY_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Where the scout did not look for so long, it stood still itself, and the engine may have ended and
-/// come back unseen: it looks some thirty times a second, and an engine is away for longer than this.
-const STOOD_STILL: Duration = Duration::from_millis(500);
+/// After a gap of this length between polls the scout itself was frozen, and the engine may have restarted
+/// unnoticed. Polls normally run about thirty times a second, and a restart takes longer than this.
+const MAX_POLL_GAP: Duration = Duration::from_millis(500);
 
-/// The engine's identifier, as far as it is known.
-pub(crate) struct Identity {
-    path: Option<Name>,
+/// Tracks the engine's identifier.
+pub(crate) struct IdentityTracker {
+    health_path: Option<Name>,
     id: Option<Name>,
-    // Grows when the engine may have begun another life: answers to earlier questions no longer count.
-    life: u64,
-    // `None` before the first look.
-    looked: Option<Time>,
-    asked: Option<Instant>,
-    answers: mpsc::Receiver<(u64, EngineHealth)>,
-    answers_in: mpsc::Sender<(u64, EngineHealth)>,
+    // Incremented when the engine may have restarted. Replies to queries of earlier epochs are ignored.
+    epoch: u64,
+    // `None` before the first poll.
+    last_poll: Option<Time>,
+    last_query: Option<Instant>,
+    replies: mpsc::Receiver<(u64, EngineHealth)>,
+    replies_tx: mpsc::Sender<(u64, EngineHealth)>,
 }
 
-impl Identity {
-    /// Not known.
+impl IdentityTracker {
+    /// Creates a tracker that does not know the identifier yet.
     pub(crate) fn new() -> Self {
-        let (answers_in, answers) = mpsc::channel(1);
-        Identity {
-            path: None,
+        let (replies_tx, replies) = mpsc::channel(1);
+        IdentityTracker {
+            health_path: None,
             id: None,
-            life: 0,
-            looked: None,
-            asked: None,
-            answers,
-            answers_in,
+            epoch: 0,
+            last_poll: None,
+            last_query: None,
+            replies,
+            replies_tx,
         }
     }
 
-    /// The path at which the engine names itself.
-    pub(crate) fn set_path(&mut self, path: Name) {
-        self.path = Some(path);
+    /// Sets the path of the engine's health check, which returns the identifier.
+    pub(crate) fn set_health_path(&mut self, path: Name) {
+        self.health_path = Some(path);
     }
 
-    /// The identifier, while it is known.
+    /// The identifier, if it is known.
     pub(crate) fn id(&self) -> Option<Name> {
         self.id.clone()
     }
 
-    /// The scout is about to look at its engine.
-    pub(crate) fn looked(&mut self, now: Time) {
-        let stood = self.looked.is_some_and(|at| now.since(at) >= STOOD_STILL);
-        if stood {
-            self.forget();
+    /// Records that the scout is about to poll its engine.
+    pub(crate) fn record_poll(&mut self, now: Time) {
+        let was_frozen = self
+            .last_poll
+            .is_some_and(|at| now.since(at) >= MAX_POLL_GAP);
+        if was_frozen {
+            self.reset();
         }
-        self.looked = Some(now);
+        self.last_poll = Some(now);
     }
 
-    /// The engine did not answer: it may come back as another one.
-    pub(crate) fn forget(&mut self) {
+    /// Discards the identifier, since the engine may have restarted under another one.
+    pub(crate) fn reset(&mut self) {
         self.id = None;
-        self.asked = None;
-        self.life += 1;
+        self.last_query = None;
+        self.epoch += 1;
     }
 
-    /// Asks the engine, unless its identifier is known or was asked for a moment ago.
-    pub(crate) fn ask(&mut self, engines: &Arc<dyn EngineCalls>, engine: SocketAddr) {
-        let waits = self.asked.is_some_and(|asked| asked.elapsed() < PAUSE);
-        if self.id.is_some() || waits {
+    /// Queries the engine in the background, unless its identifier is known or was queried within
+    /// [`RETRY_INTERVAL`].
+    pub(crate) fn query(&mut self, engines: &Arc<dyn EngineCalls>, engine: SocketAddr) {
+        let queried_recently = self
+            .last_query
+            .is_some_and(|at| at.elapsed() < RETRY_INTERVAL);
+        if self.id.is_some() || queried_recently {
             return;
         }
-        let Some(path) = self.path.clone() else {
+        let Some(path) = self.health_path.clone() else {
             return;
         };
-        self.asked = Some(Instant::now());
-        let (engines, answers, life) = (engines.clone(), self.answers_in.clone(), self.life);
+        self.last_query = Some(Instant::now());
+        let (engines, replies, epoch) = (engines.clone(), self.replies_tx.clone(), self.epoch);
         tokio::spawn(async move {
             match engines.health(engine, &path).await {
                 Ok(health) => {
-                    // A scout that is gone needs no answer.
-                    drop(answers.send((life, health)).await);
+                    // The send fails only if the scout is gone.
+                    drop(replies.send((epoch, health)).await);
                 }
-                Err(error) => tracing::debug!(%error, "scout: the engine does not name itself"),
+                Err(error) => tracing::debug!(%error, "scout: cannot read the engine's identifier"),
             }
         });
     }
 
-    /// Waits for the engine's answer, where that is news.
-    pub(crate) async fn answered(&mut self) -> Option<EngineHealth> {
-        let (life, health) = self.answers.recv().await?;
-        if life != self.life || self.id.is_some() {
+    /// Waits for a reply of the engine; `None` if the reply is outdated or the identifier is already known.
+    pub(crate) async fn next_reply(&mut self) -> Option<EngineHealth> {
+        let (epoch, health) = self.replies.recv().await?;
+        if epoch != self.epoch || self.id.is_some() {
             return None;
         }
         self.id = Some(health.id.clone());
--- a/relay/src/keeper.rs
+++ b/relay/src/keeper.rs
@@ -1,4 +1,5 @@
-//! Keeps an entry's view of the configuration and of the backend servers up to date.
+//! Keeps a relay's view of the configuration and of the backend servers up to date, from the directory or
+//! from other relays.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,207 +22,217 @@
 use crate::peer_pull;
 use crate::relay::Relay;
 
-/// How long a watch on the configuration waits, and one on the backend servers. Each costs a call. A
-/// directory that turns new calls away while a watch waits is noticed only at the watch's end, and so is a connection
-/// that fell silent: until then no engine is taken on its scout's word, and nobody hears of a configuration.
-const CONFIG_WATCH: Duration = Duration::from_secs(10);
-const SERVER_WATCH: Duration = Duration::from_millis(1_500);
-
-/// The time from one watch on the backend servers to the next, for each relay that is known, and the longest. Each
-/// watch that returns costs a call, and changes grow with the fleet, while the platform's rates grow more
-/// slowly: in a large fleet several changes come with one call. Engines that leave are known by their scouts.
-const WATCH_GAP: Duration = Duration::from_micros(2_500);
-const LONGEST_GAP: Duration = Duration::from_millis(300);
-
-/// Backoff after a failed call, doubled up to the maximum. The maximum holds for a few relays of a region and grows
-/// with more, so that together they notice a store's return as soon, at as many calls.
+/// How long a watch on the configuration, and one on the backend servers, waits for a change. Each watch
+/// costs a call. A directory that rejects new calls while a watch is pending is noticed only when the watch
+/// times out, and so is a dead connection: until then no engine is accepted on its scout's announcement
+/// alone, and no relay receives a new configuration.
+const CONFIG_WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+const SERVER_WATCH_TIMEOUT: Duration = Duration::from_millis(1_500);
+
+/// Interval between watches on the backend servers per known relay, and its maximum. Each watch that returns
+/// costs a call, and changes grow with the number of servers, while the platform's rate limits grow more
+/// slowly: in a large deployment one call returns several changes. That an engine leaves is learnt earlier
+/// from its scout.
+const WATCH_INTERVAL_PER_RELAY: Duration = Duration::from_micros(2_500);
+const MAX_WATCH_INTERVAL: Duration = Duration::from_millis(300);
+
+/// Initial and maximum backoff after a failed call; the backoff is doubled after each failure. The maximum is
+/// meant for a region with few relays and grows with each further `RELAYS_PER_BACKOFF_STEP` relays: together
+/// they notice the store's return as early, with as many calls.
 const MIN_BACKOFF: Duration = Duration::from_millis(40);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-const BACKOFF_RELAYS: u32 = 3;
+const RELAYS_PER_BACKOFF_STEP: u32 = 3;
 
-/// The longest wait before a relay takes over from one that watched, drawn at random: all relays of the region
-/// notice at the same time that it is gone, and one is enough.
-const TAKE_OVER: Duration = Duration::from_millis(300);
+/// Maximum random delay before a relay takes over the watch of another one. All relays of the region notice
+/// at the same time that the watching relay is gone, and one is enough.
+const MAX_TAKEOVER_DELAY: Duration = Duration::from_millis(300);
 
-/// After an outage of this length servers may be missing in the list that are still there: their
-/// entries have lapsed, and come back as after the directory's return from a copy.
-const OUTAGE: Duration = Duration::from_secs(1);
+/// After an outage of this length a list may lack servers that are still running: their records have expired,
+/// and are written again as after the directory was restored from an older copy.
+const RECORD_EXPIRY_OUTAGE: Duration = Duration::from_secs(1);
 
-/// After this a directory that fails counts as out of reach: a connection that broke is replaced sooner.
-const OUT_OF_REACH: Duration = Duration::from_millis(400);
+/// After failing for this long the directory counts as unreachable. A broken connection is replaced sooner.
+const UNREACHABLE_AFTER: Duration = Duration::from_millis(400);
 
-/// How often other relays are asked for what they know more.
-const PULL: Duration = Duration::from_millis(250);
+/// Interval at which newer state is pulled from other relays, and at which waiting tasks check their
+/// condition.
+const PULL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The directory is asked for the other relays this often; they also name each other.
-const PEERS: Duration = Duration::from_secs(20);
-const PEERS_AGAIN: Duration = Duration::from_secs(1);
+/// Interval at which the directory's list of relays is read, and the retry interval. Relays also learn of
+/// each other from hellos.
+const PEERS_INTERVAL: Duration = Duration::from_secs(20);
+const PEERS_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reads the directory and follows it.
+/// Applies the directory's state to a relay and watches the directory for changes.
 pub struct Keeper {
     pub(crate) relay: Arc<Relay>,
     pub(crate) directory: Arc<dyn Directory>,
 }
 
-/// How the calls to the directory go: the pause before the next try, and since when they fail.
-pub(crate) struct Tries {
-    pause: Duration,
-    lost: Option<Instant>,
+/// Backoff state of the calls to the directory.
+pub(crate) struct CallBackoff {
+    delay: Duration,
+    failing_since: Option<Instant>,
 }
 
-impl Tries {
+impl CallBackoff {
     pub(crate) fn new() -> Self {
-        Tries {
-            pause: MIN_BACKOFF,
-            lost: None,
+        CallBackoff {
+            delay: MIN_BACKOFF,
+            failing_since: None,
         }
     }
 
-    pub(crate) fn went_well(&mut self) {
-        *self = Tries::new();
+    pub(crate) fn reset(&mut self) {
+        *self = CallBackoff::new();
     }
 
-    /// Notes a failure, and waits before the next try.
-    pub(crate) async fn failed(&mut self, relay: &Relay) {
-        let lost = *self.lost.get_or_insert_with(Instant::now);
-        if lost.elapsed() >= OUT_OF_REACH {
+    /// Records a failed call and waits before the next one.
+    pub(crate) async fn wait_after_failure(&mut self, relay: &Relay) {
+        let failing_since = *self.failing_since.get_or_insert_with(Instant::now);
+        if failing_since.elapsed() >= UNREACHABLE_AFTER {
             relay.set_out_of_reach(true);
         }
-        sleep(self.pause.mul_f64(0.5 + 0.5 * fastrand::f64())).await;
-        self.pause = (self.pause * 2).min(max_backoff(relay));
+        sleep(self.delay.mul_f64(0.5 + 0.5 * fastrand::f64())).await;
+        self.delay = (self.delay * 2).min(max_backoff(relay));
     }
 }
 
 impl Keeper {
-    /// A keeper for the entry.
+    /// Creates a watcher that updates `relay`.
     pub fn new(relay: Arc<Relay>, directory: Arc<dyn Directory>) -> Self {
         Keeper { relay, directory }
     }
 
-    /// Follows the directory until the process ends.
+    /// Watches the directory until the process ends.
     pub async fn run(self) {
         tokio::join!(
-            self.follow_config(),
-            self.follow_servers(),
-            self.follow_evacuations(),
-            self.follow_peers(),
-            self.pull(),
+            self.watch_config(),
+            self.watch_servers(),
+            self.watch_evacuations(),
+            self.sync_peers(),
+            self.pull_from_peers(),
         );
     }
 
-    /// A watch that was cut off is not taken up again where it was: the history between may be gone
-    /// without the directory saying so, and the watch would wait for the next change but one. The
-    /// whole is read instead.
-    async fn follow_config(&self) {
-        let mut tries = Tries::new();
-        let mut at: Option<Revision> = None;
+    /// Watches the configuration.
+    ///
+    /// After an interrupted watch the whole configuration is read again. Watching on from the last revision
+    /// is not safe: the changes in between may be lost without an error from the directory, and the watch
+    /// would miss one change and return only with the next.
+    async fn watch_config(&self) {
+        let mut backoff = CallBackoff::new();
+        let mut revision: Option<Revision> = None;
         loop {
-            if self.relay.version() > 0 && self.is_told().await {
-                at = None;
+            if self.relay.version() > 0 && self.defer_to_watching_relay().await {
+                revision = None;
                 continue;
             }
-            let outcome = match at {
+            let outcome = match revision {
                 None => self.directory.config().await,
                 Some(after) => tokio::select! {
-                    outcome = self.directory.next_config(after, CONFIG_WATCH) => outcome,
-                    // What the watch on the servers met, this one has met too and does not know yet.
-                    () = self.until_reset(after), if self.relay.version() > 0 => {
-                        at = None;
+                    outcome = self.directory.next_config(after, CONFIG_WATCH_TIMEOUT) => outcome,
+                    // A failure that the watch on the servers has noticed also affects this watch, which may
+                    // not notice it until it times out.
+                    () = self.wait_for_reset(after), if self.relay.version() > 0 => {
+                        revision = None;
                         continue;
                     }
                 },
             };
             match outcome {
-                Ok((config, revision)) => {
-                    tries.went_well();
-                    at = Some(revision);
+                Ok((config, read_at)) => {
+                    backoff.reset();
+                    revision = Some(read_at);
                     if let Some(config) = config {
                         self.relay.set_config(config);
                     }
                 }
                 Err(error) => {
                     tracing::info!(%error, "directory: no news of the configuration");
-                    at = None;
-                    tries.failed(&self.relay).await;
+                    revision = None;
+                    backoff.wait_after_failure(&self.relay).await;
                 }
             }
         }
     }
 
-    async fn follow_servers(&self) {
-        let mut tries = Tries::new();
+    async fn watch_servers(&self) {
+        let mut backoff = CallBackoff::new();
         let mut watching = false;
         let mut view = ServerView::default();
         loop {
             if self.relay.revision().is_known() {
-                watching = self.is_watcher(watching).await;
-                // Only once it was answered: others would stand down for one that is turned away.
-                self.relay.set_fed(watching && view.at.is_some());
+                watching = self.should_watch(watching).await;
+                // Set only after a successful call: other relays stop watching for this one, which may be
+                // rejected itself.
+                self.relay.set_fed(watching && view.revision.is_some());
                 if !watching {
-                    view.at = None;
+                    view.revision = None;
                     continue;
                 }
             }
-            match self.next_servers(&mut view, &tries).await {
+            match self.next_servers(&mut view, &backoff).await {
                 Ok(()) => {
-                    tries.went_well();
+                    backoff.reset();
                     self.relay.set_out_of_reach(false);
                 }
                 Err(error) => {
                     tracing::info!(%error, "directory: no news of the backend servers");
-                    view.at = None;
+                    view.revision = None;
                     self.relay.set_fed(false);
-                    tries.failed(&self.relay).await;
+                    backoff.wait_after_failure(&self.relay).await;
                 }
             }
         }
     }
 
-    /// Whether another relay of the region watches, or the directory is out of reach; waits a moment where that is so.
-    /// Whoever watches the servers watches all else.
-    pub(crate) async fn is_told(&self) -> bool {
+    /// Returns true after a pause if this relay does not watch the directory: another relay of the region
+    /// does, or the directory is unreachable. The watch on the servers decides this for all watches.
+    pub(crate) async fn defer_to_watching_relay(&self) -> bool {
         if self.relay.is_fed() {
             return false;
         }
-        sleep(PULL).await;
+        sleep(PULL_INTERVAL).await;
         true
     }
 
-    /// Waits until this relay watches no more, was not answered, or the directory has gone back since the revision.
-    pub(crate) async fn until_reset(&self, revision: Revision) {
+    /// Waits until this relay no longer watches the directory, its last call failed, or the directory was
+    /// restored from an older copy after `revision`.
+    pub(crate) async fn wait_for_reset(&self, revision: Revision) {
         while self.relay.is_fed() && self.relay.era() <= revision.era {
-            sleep(PULL).await;
+            sleep(PULL_INTERVAL).await;
         }
     }
 
-    /// Whether this relay is to watch the directory, where it does so already or not. Waits a moment where another
-    /// one does.
-    async fn is_watcher(&self, watching: bool) -> bool {
-        // Where nobody else was heard there is nobody to wait for.
+    /// Whether this relay should watch the directory; `watching` tells whether it does so now. If another
+    /// relay watches, returns false after a pause.
+    async fn should_watch(&self, watching: bool) -> bool {
+        // Without other relays there is no one to coordinate with.
         let others = self.relay.relays_in_region() > 1;
         if !watching && others && self.relay.may_watch(watching) {
-            sleep(TAKE_OVER.mul_f64(fastrand::f64())).await;
+            sleep(MAX_TAKEOVER_DELAY.mul_f64(fastrand::f64())).await;
         }
         if self.relay.may_watch(watching) {
             return true;
         }
-        // The one that watches has the directory's answers, and passes them on.
+        // The watching relay reaches the directory and passes its state on.
         self.relay.set_out_of_reach(false);
-        sleep(PULL).await;
+        sleep(PULL_INTERVAL).await;
         false
     }
 
-    async fn next_servers(&self, view: &mut ServerView, tries: &Tries) -> Result<()> {
-        let Some(after) = view.at else {
-            return self.list_servers(view, tries).await;
+    async fn next_servers(&self, view: &mut ServerView, backoff: &CallBackoff) -> Result<()> {
+        let Some(after) = view.revision else {
+            return self.list_servers(view, backoff).await;
         };
-        let wait = match view.again {
-            Some(again) => again
+        let wait = match view.relist_at {
+            Some(relist_at) => relist_at
                 .saturating_duration_since(Instant::now())
-                .min(SERVER_WATCH),
-            None => SERVER_WATCH,
+                .min(SERVER_WATCH_TIMEOUT),
+            None => SERVER_WATCH_TIMEOUT,
         };
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let news = self.directory.next_servers(after, wait).await?;
         if !news.changes.is_empty() {
             let changes = news.changes.len();
@@ -236,24 +247,29 @@
             ..news
         };
         self.relay.change_servers(after, &news);
-        view.at = Some(news.revision);
-        if view.again.is_some_and(|again| again <= Instant::now()) {
-            view.again = None;
-            view.at = None;
+        view.revision = Some(news.revision);
+        if view
+            .relist_at
+            .is_some_and(|relist_at| relist_at <= Instant::now())
+        {
+            view.relist_at = None;
+            view.revision = None;
         }
-        sleep_until(begun + self.watch_gap()).await;
+        sleep_until(started_at + self.watch_interval()).await;
         Ok(())
     }
 
-    async fn list_servers(&self, view: &mut ServerView, tries: &Tries) -> Result<()> {
+    async fn list_servers(&self, view: &mut ServerView, backoff: &CallBackoff) -> Result<()> {
         let listing = self.directory.servers().await?;
         self.relay.saw(listing.revision);
         if listing.revision.era < self.relay.era() {
             return Err(DirectoryError::HistoryGone);
         }
-        // A server that is missing in a list after an outage may still be there.
-        let lapsed = tries.lost.is_some_and(|since| since.elapsed() >= OUTAGE);
-        let whole = self.relay.is_settled() && !lapsed;
+        // A server that is missing in a list after an outage may still be running.
+        let records_expired = backoff
+            .failing_since
+            .is_some_and(|since| since.elapsed() >= RECORD_EXPIRY_OUTAGE);
+        let whole = self.relay.is_settled() && !records_expired;
         let listing = ServerListing {
             revision: listing.revision.with_whole(whole),
             ..listing
@@ -268,24 +284,24 @@
             self.relay.set_servers(&listing);
         } else {
             self.relay.add_servers(&listing);
-            view.again = Some(Instant::now() + RETURN);
+            view.relist_at = Some(Instant::now() + RETURN);
         }
-        view.at = Some(listing.revision);
+        view.revision = Some(listing.revision);
         Ok(())
     }
 
-    fn watch_gap(&self) -> Duration {
+    fn watch_interval(&self) -> Duration {
         let relays = self.relay.peers().count() as u32;
-        (WATCH_GAP * relays).min(LONGEST_GAP)
+        (WATCH_INTERVAL_PER_RELAY * relays).min(MAX_WATCH_INTERVAL)
     }
 
-    async fn follow_peers(&self) {
+    async fn sync_peers(&self) {
         let own = self.relay.peer_record();
         let mut eras = self.relay.eras();
-        let mut written = false;
+        let mut registered = false;
         loop {
-            if !written {
-                written = self.register(&own).await;
+            if !registered {
+                registered = self.register(&own).await;
             }
             let pause = match self.directory.peers().await {
                 Ok(peers) => {
@@ -295,19 +311,19 @@
                     known.set_listed();
                     drop(known);
                     self.relay.share_among_entries();
-                    PEERS
+                    PEERS_INTERVAL
                 }
                 Err(error) => {
-                    tracing::info!(%error, "directory: no list of relays");
-                    PEERS_AGAIN
+                    tracing::info!(%error, "directory: cannot read the list of relays");
+                    PEERS_RETRY_INTERVAL
                 }
             };
             tokio::select! {
-                () = sleep(if written { pause } else { PEERS_AGAIN }) => {}
+                () = sleep(if registered { pause } else { PEERS_RETRY_INTERVAL }) => {}
                 _ = eras.changed() => {
-                    // What this relay has written may be lost, as that of all others.
-                    written = false;
-                    sleep(PEERS_AGAIN.mul_f64(fastrand::f64())).await;
+                    // The directory may have lost this relay's record, like those of all other relays.
+                    registered = false;
+                    sleep(PEERS_RETRY_INTERVAL.mul_f64(fastrand::f64())).await;
                 }
             }
         }
@@ -317,18 +333,19 @@
         match self.directory.register(own).await {
             Ok(()) => true,
             Err(error) => {
-                tracing::info!(%error, "directory: this relay could not be written down");
+                tracing::info!(%error, "directory: cannot register this relay");
                 false
             }
         }
     }
 
-    /// Reads from other relays what they know and this one does not.
-    async fn pull(&self) {
-        // What was known a round ago: a relay whose watch is alive has caught up by then.
+    /// Pulls state from other relays that is newer than this relay's.
+    async fn pull_from_peers(&self) {
+        // The versions one round ago. State is pulled only if they have not changed since: a relay with a
+        // working watch has caught up by then.
         let (mut version, mut revision) = (0, Revision::default());
         loop {
-            sleep(PULL).await;
+            sleep(PULL_INTERVAL).await;
             let ahead = self.relay.peers().with_config_after(self.relay.version());
             if let Some(peer) = ahead.filter(|_| self.relay.version() == version) {
                 self.pull_from(peer, &PeerQuestion::Config(version)).await;
@@ -351,32 +368,33 @@
                 self.relay.set_config(config);
             }
             Ok(PeerAnswer::Servers(listing)) => {
-                tracing::info!(%peer, revision = %listing.revision, "peers: servers came from a relay");
+                tracing::info!(%peer, revision = %listing.revision, "peers: pulled servers from a relay");
                 self.relay.take_listing(&listing);
             }
             Ok(PeerAnswer::Changes(changes)) => {
                 let count = changes.changes.len();
-                tracing::debug!(%peer, count, revision = %changes.revision, "peers: changes of servers came from a relay");
+                tracing::debug!(%peer, count, revision = %changes.revision, "peers: pulled changes of servers from a relay");
                 self.relay.take_changes(before, &changes);
             }
-            Err(error) => tracing::debug!(%peer, %error, "peers: a relay gave no answer"),
+            Err(error) => tracing::debug!(%peer, %error, "peers: cannot pull from a relay"),
         }
     }
 }
 
-/// The longest pause between two calls that fail. Short for one that knows nothing yet: it serves nobody.
+/// The maximum backoff. Short for a relay that is not ready yet, since it serves no requests until a call
+/// succeeds.
 fn max_backoff(relay: &Relay) -> Duration {
     match relay.is_ready() {
-        true => MAX_BACKOFF * (1 + relay.relays_in_region() as u32 / BACKOFF_RELAYS),
+        true => MAX_BACKOFF * (1 + relay.relays_in_region() as u32 / RELAYS_PER_BACKOFF_STEP),
         false => MAX_BACKOFF,
     }
 }
 
-/// How far the backend servers are known from the directory.
+/// State of the watch on the backend servers.
 #[derive(Default)]
 struct ServerView {
-    // Where the watch goes on; `None` where the list is to be read.
-    at: Option<Revision>,
-    // When the list is to be read again, since it may have been incomplete.
-    again: Option<Instant>,
+    // The revision to watch from; `None` if the list must be read first.
+    revision: Option<Revision>,
+    // When the list must be read again, because it may have been incomplete.
+    relist_at: Option<Instant>,
 }
--- a/relay/src/keeper_evacuations.rs
+++ b/relay/src/keeper_evacuations.rs
@@ -1,4 +1,4 @@
-//! Keeps an entry's view of the evacuated availability zones up to date.
+//! Keeps a relay's view of the evacuated availability zones up to date.
 
 use std::time::Duration;
 
@@ -6,46 +6,48 @@
 use cicada_lib::zone_evacuation::EvacuatedZones;
 use tokio::time::Instant;
 
+use crate::keeper::CallBackoff;
 use crate::keeper::Keeper;
-use crate::keeper::Tries;
 
-/// How long a watch on evacuations waits. One whose connection fell silent is given up after this and the call's own
-/// time, together less than an evacuation may take to hold.
-const EVACUATION_WATCH: Duration = Duration::from_secs(3);
+/// How long a watch on evacuations waits for a change. A watch on a dead connection is abandoned after this
+/// and the timeout of the call, together less than the time within which an evacuation must take effect.
+const EVACUATION_WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How far the evacuations are known from the directory.
+/// State of the watch on evacuations.
 #[derive(Default)]
 struct EvacuationView {
-    // `None` where they are to be listed.
+    // The evacuations to watch from; `None` if they must be listed first.
     known: Option<EvacuatedZones>,
-    // When they are to be listed again, since some may have been lost.
-    again: Option<Instant>,
+    // When they must be listed again, because the list may have been incomplete.
+    relist_at: Option<Instant>,
 }
 
 impl EvacuationView {
-    /// How long the next watch waits.
-    fn wait(&self) -> Duration {
-        let again = self
-            .again
-            .map(|again| again.saturating_duration_since(Instant::now()));
-        again.map_or(EVACUATION_WATCH, |again| again.min(EVACUATION_WATCH))
+    /// The timeout of the next watch.
+    fn watch_timeout(&self) -> Duration {
+        let remaining = self
+            .relist_at
+            .map(|relist_at| relist_at.saturating_duration_since(Instant::now()));
+        remaining.map_or(EVACUATION_WATCH_TIMEOUT, |remaining| {
+            remaining.min(EVACUATION_WATCH_TIMEOUT)
+        })
     }
 }
 
 impl Keeper {
-    pub(crate) async fn follow_evacuations(&self) {
-        let mut tries = Tries::new();
+    pub(crate) async fn watch_evacuations(&self) {
+        let mut backoff = CallBackoff::new();
         let mut view = EvacuationView::default();
         loop {
-            if self.relay.evacuated().is_known() && self.is_told().await {
+            if self.relay.evacuated().is_known() && self.defer_to_watching_relay().await {
                 view.known = None;
                 continue;
             }
             let outcome = match &view.known {
                 None => self.directory.evacuations().await,
                 Some(before) => tokio::select! {
-                    outcome = self.directory.next_evacuations(before, view.wait()) => outcome,
-                    () = self.until_reset(before.revision), if self.relay.evacuated().is_known() => {
+                    outcome = self.directory.next_evacuations(before, view.watch_timeout()) => outcome,
+                    () = self.wait_for_reset(before.revision), if self.relay.evacuated().is_known() => {
                         view.known = None;
                         continue;
                     }
@@ -53,26 +55,26 @@
             };
             match outcome {
                 Ok(evacuated) => {
-                    tries.went_well();
-                    self.take_evacuated(&mut view, evacuated);
+                    backoff.reset();
+                    self.apply_evacuations(&mut view, evacuated);
                 }
                 Err(error) => {
-                    tracing::info!(%error, "directory: no news of evacuations");
+                    tracing::info!(%error, "directory: cannot read evacuations");
                     view.known = None;
-                    tries.failed(&self.relay).await;
+                    backoff.wait_after_failure(&self.relay).await;
                 }
             }
         }
     }
 
-    fn take_evacuated(&self, view: &mut EvacuationView, evacuated: EvacuatedZones) {
+    fn apply_evacuations(&self, view: &mut EvacuationView, evacuated: EvacuatedZones) {
         self.relay.saw(evacuated.revision);
         let whole = match &view.known {
             None => self.relay.is_settled(),
             Some(before) => before.revision.whole,
         };
         if view.known.is_none() && !whole {
-            view.again = Some(Instant::now() + RETURN);
+            view.relist_at = Some(Instant::now() + RETURN);
         }
         let evacuated = EvacuatedZones {
             revision: evacuated.revision.with_whole(whole),
@@ -80,7 +82,10 @@
         };
         self.relay.take_evacuated(&evacuated);
         view.known = Some(evacuated);
-        if view.again.is_some_and(|again| again <= Instant::now()) {
+        if view
+            .relist_at
+            .is_some_and(|relist_at| relist_at <= Instant::now())
+        {
             *view = EvacuationView::default();
         }
     }
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -1,8 +1,8 @@
-//! Entries that carry opaque requests straight to backend servers.
+//! Relays that forward callers' requests to backend servers without interpreting them.
 //!
-//! An entry takes a caller's request, finds its route and its workspace, chooses a backend server and
-//! relays the answer byte for byte. A stream stays with its caller's entry; when its engine is about to
-//! leave, the entry has the run moved to another engine and goes on there.
+//! A relay accepts a caller's request, looks up its route and workspace, selects a backend server and passes
+//! the response on byte for byte. A stream stays connected to the relay that accepted it; when its engine is
+//! about to leave, the run is moved to another engine and the relay continues the stream from there.
 
 mod answer;
 mod attempts;
--- a/relay/src/lock.rs
+++ b/relay/src/lock.rs
@@ -1,10 +1,10 @@
-//! Locks that outlive a panic of a holder.
+//! Locking that ignores poisoning.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
 
-/// Takes the lock. What it guards is whole after each statement that changes it, so that a holder's
-/// panic leaves nothing half done.
+/// Locks the mutex, even if a previous holder panicked. The guarded data is consistent after every statement
+/// that changes it, so a panic leaves no partial update.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
--- a/relay/src/peer_net.rs
+++ b/relay/src/peer_net.rs
@@ -98,11 +98,11 @@
                 Some(asks) = load_asks.recv() => self.ask_load(asks).await,
                 Some(sent) = sent.recv() => self.tell_sent(sent).await,
                 Some(word) = ended.recv() => {
-                    let scout = self.socket.on(word.engine.ip());
+                    let scout = self.socket.address_on(word.engine.ip());
                     self.socket.send(&Datagram::Ended(word), &[scout]).await;
                 }
                 Some(ask) = asks.recv() => {
-                    let scout = self.socket.on(ask.engine.ip());
+                    let scout = self.socket.address_on(ask.engine.ip());
                     self.socket.send(&Datagram::WasMoved(ask.id), &[scout]).await;
                 }
                 received = self.socket.receive(&mut buffer) => {
@@ -179,12 +179,12 @@
             evacuated: self.relay.evacuated(),
             limited: group.limited.clone(),
         });
-        let scouts = self.socket.on_hosts(engines);
+        let scouts = self.socket.addresses_of(engines);
         self.socket.send(&word, &scouts).await;
     }
 
     async fn hello(&self) {
-        self.relay.note_runs();
+        self.relay.record_heartbeat();
         self.relay.share_among_entries();
         let word = Datagram::Hello(RelayHello {
             zone: self.relay.settings().place.zone.clone(),
@@ -236,13 +236,13 @@
             true => self.relay.peers().pick_for_sent(),
             false => Vec::new(),
         };
-        told.push(self.socket.on(word.engine.ip()));
+        told.push(self.socket.address_on(word.engine.ip()));
         self.socket.send(&Datagram::Sent(word), &told).await;
     }
 
     async fn ask_load(&self, asks: Vec<LoadAsk>) {
         for ask in asks {
-            let scout = self.socket.on(ask.engine.ip());
+            let scout = self.socket.address_on(ask.engine.ip());
             self.socket.send(&Datagram::Ask(ask), &[scout]).await;
         }
     }
@@ -285,10 +285,10 @@
     fn hear(&self, bytes: &[u8], from: SocketAddr) -> Option<Datagram> {
         match peer_words::decode(bytes) {
             Ok(Datagram::Report(report)) if report.here.address.ip() == from.ip() => {
-                self.relay.report(&report);
+                self.relay.handle_report(&report);
             }
             Ok(Datagram::Answer(answer)) if answer.report.here.address.ip() == from.ip() => {
-                self.relay.load_answer(&answer);
+                self.relay.handle_load_answer(&answer);
             }
             Ok(Datagram::Moving(moving)) if moving.source.ip() == from.ip() => {
                 self.relay.prepare_move(&moving);
@@ -303,14 +303,14 @@
             Ok(Datagram::News(news)) => self.relay.news(&news),
             Ok(Datagram::Sent(word)) => self.relay.sent_elsewhere(&word),
             Ok(Datagram::Here(here)) if here.address.ip() == from.ip() => {
-                self.relay.engine_here(&here);
+                self.relay.handle_announcement(&here);
                 return Some(Datagram::HerePassedOn(here));
             }
             Ok(Datagram::Identity(word)) if word.here.address.ip() == from.ip() => {
-                self.relay.engine_identity(&word);
+                self.relay.handle_identity(&word);
             }
             // Passed on by each relay to which it is news, so that it reaches all of them.
-            Ok(Datagram::HerePassedOn(here)) if self.relay.engine_here(&here) => {
+            Ok(Datagram::HerePassedOn(here)) if self.relay.handle_announcement(&here) => {
                 return Some(Datagram::HerePassedOn(here));
             }
             Ok(Datagram::Hello(hello)) => {
@@ -320,7 +320,8 @@
                 drop(peers);
                 self.relay.set_evacuated(&hello.evacuated);
                 self.relay.apply_limit_reports(from, &hello.limits);
-                self.relay.note_told(hello.version, hello.revision);
+                self.relay
+                    .record_peer_versions(hello.version, hello.revision);
             }
             Ok(_) => {}
             Err(error) => tracing::debug!(%from, %error, "peers: a datagram is passed over"),
--- a/relay/src/scout.rs
+++ b/relay/src/scout.rs
@@ -1,8 +1,10 @@
-//! The process beside an engine: tells relays of its load, and moves its runs away when it leaves.
+//! The scout: a process on an engine's host that reports the engine's load to relays and, when the engine
+//! leaves, moves its runs to other engines.
 //!
-//! Asked from its own host, an engine tells its load as of now, and at no cost. What relays would read
-//! from afar is half a second old, and each of them would ask for itself. The scout alone sees all runs
-//! of its engine, so that it can move them one after the other over the engine's link.
+//! A local poll of the engine returns its current load at almost no cost. If relays polled over the network
+//! instead, their data would be half a second old, and each relay would add its own polls. The scout is also
+//! the only process that sees all runs of its engine, so it can move them one after the other over the
+//! engine's network link.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -33,284 +35,292 @@
 use tokio::time::interval;
 use tokio::time::sleep;
 
-use crate::identity::Identity;
+use crate::identity::IdentityTracker;
 use crate::run_mover;
 use crate::run_mover::Neighbours;
 use crate::run_mover::RunNews;
 use crate::word_socket::WordSocket;
 
-/// How often the engine is asked: an engine that leaves says so 1.5 s before, of which this takes a
-/// fiftieth at most, and relays that choose engines at the same time see each other's requests.
-pub(crate) const LOOK: Duration = Duration::from_millis(30);
+/// Interval between polls of the engine. An engine announces that it leaves 1.5 s ahead, of which the poll
+/// delay takes at most a fiftieth. Short intervals also let relays that place requests at the same time see
+/// each other's requests.
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// A look at the engine that is older than this answers no question: the engine does not answer itself, or this
-/// host has stood still.
-const SEEN_AGE: Duration = Duration::from_millis(250);
+/// Maximum age of the last poll for answering a load probe. An older one means that the engine does not
+/// respond or that this host was frozen.
+const MAX_POLL_AGE: Duration = Duration::from_millis(250);
 
-/// An engine that was not seen for so long may have ended and started again.
-const UNWATCHED: Duration = Duration::from_millis(500);
+/// After a gap of this length between polls, the engine may have stopped and restarted unnoticed.
+const MAX_UNOBSERVED: Duration = Duration::from_millis(500);
 
-/// How long a listener gets reports after it asked for them.
-const SUBSCRIBED: Duration = Duration::from_secs(4);
+/// How long a subscription for reports stays valid without renewal.
+const SUBSCRIPTION_TTL: Duration = Duration::from_secs(4);
 
-/// How often the scout asks the scouts of its neighbours for their reports while its engine leaves, and says
-/// that the engine is there while nobody asks for its own.
-const RENEW: Duration = Duration::from_secs(1);
+/// Interval at which a scout renews its subscriptions to its neighbours' scouts while its engine leaves, and
+/// announces its engine while it has no subscribers itself.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long an engine counts as a neighbour after a relay named it: some ten renewals, of which one is enough.
-const NEIGHBOUR: Duration = Duration::from_secs(8);
+/// How long an engine counts as a neighbour after a relay last named it: about ten renewals of subscriptions,
+/// one of which is enough.
+const NEIGHBOUR_TTL: Duration = Duration::from_secs(8);
 
-/// The times after which word of a move, or of a new life, is sent again: datagrams are lost now and then,
-/// and a relay without it would give the run up.
-const REPEATS: [Duration; 2] = [Duration::from_millis(15), Duration::from_millis(60)];
+/// Delays before a message about a move or a new incarnation is sent again. Datagrams are lost now and then,
+/// and a relay that missed the message would give up the run.
+const RETRANSMIT_DELAYS: [Duration; 2] = [Duration::from_millis(15), Duration::from_millis(60)];
 
-/// How many moves are remembered for relays that ask.
-const REMEMBERED: usize = 256;
+/// Number of past moves that are kept for relays that ask about a run.
+const MAX_REMEMBERED_MOVES: usize = 256;
 
-/// A scout.
+/// Reports the load of one engine and moves its runs away when it leaves.
 pub struct Scout {
-    pub(crate) engines: Arc<dyn EngineCalls>,
-    // The engine that it stands beside.
-    pub(crate) here: EngineHere,
+    pub(crate) engine_calls: Arc<dyn EngineCalls>,
+    // The engine on this host.
+    pub(crate) engine: EngineHere,
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) socket: Arc<WordSocket>,
-    // Relays and neighbours' scouts that asked for reports.
-    pub(crate) listeners: HashMap<SocketAddr, Instant>,
-    // When each engine of the service and availability zone was last named.
-    pub(crate) named: HashMap<SocketAddr, Instant>,
+    // Relays and neighbours' scouts that handle_subscription to reports, with the time of their last subscription.
+    pub(crate) subscribers: HashMap<SocketAddr, Instant>,
+    // When relays last named each engine of the same service and region.
+    pub(crate) neighbour_named_at: HashMap<SocketAddr, Instant>,
     pub(crate) neighbours: Arc<Neighbours>,
-    pub(crate) told: Instant,
-    // What was told then.
-    pub(crate) last: Option<ScoutReport>,
-    // What the engine said when it was last looked at, and when; `None` where it did not answer.
-    pub(crate) seen: Option<(Time, EngineReport)>,
-    // When the neighbours were last asked, or the engine announced; `None` before the first time.
-    pub(crate) renewed: Option<Instant>,
-    // Whether the last report said that the engine leaves.
+    pub(crate) last_report_at: Instant,
+    // The report that was sent then.
+    pub(crate) last_report: Option<ScoutReport>,
+    // The engine's response to the last poll, and when it came; `None` if it did not respond or there are no subscribers.
+    pub(crate) last_poll: Option<(Time, EngineReport)>,
+    // When the neighbours' reports were last handle_subscription to, or the engine was last announced; `None` before
+    // the first time.
+    pub(crate) last_renewal: Option<Instant>,
+    // Whether the engine was leaving at the last successful poll.
     pub(crate) leaving: bool,
-    // The latest runs of an engine that leaves, for the task that moves them.
-    pub(crate) evacuating: Option<watch::Sender<EngineReport>>,
-    pub(crate) identity: Identity,
+    // Passes the engine's current runs to the task that moves them, while the engine leaves.
+    pub(crate) mover_reports: Option<watch::Sender<EngineReport>>,
+    pub(crate) identity: IdentityTracker,
     pub(crate) load_tracker: EngineLoadTracker,
     pub(crate) outcomes: FailureRate,
     pub(crate) cold: ColdState,
-    // How long the engine is cold after a start, as relays tell.
+    // How long the engine is cold after a start, as relays report it.
     pub(crate) cold_period: Duration,
-    // When a relay last told of a request.
-    pub(crate) heard: Instant,
+    // When a relay last announced a request to this engine.
+    pub(crate) last_sent_notice: Instant,
     pub(crate) clock: Clock,
-    pub(crate) moved: Vec<MovedRun>,
-    pub(crate) moves: mpsc::Receiver<RunNews>,
-    pub(crate) moves_in: mpsc::Sender<RunNews>,
+    pub(crate) past_moves: Vec<MovedRun>,
+    pub(crate) mover_events: mpsc::Receiver<RunNews>,
+    pub(crate) mover_events_tx: mpsc::Sender<RunNews>,
 }
 
 impl Scout {
-    /// A scout beside the engine, with a socket at `peer`. While no relay asks for reports, it tells the
-    /// `seeds` that its engine is there.
+    /// Binds the scout of an engine to the datagram address `peer`. While there are no subscribers, it
+    /// announces its engine to the `seeds`.
     pub async fn bind(
         peer: SocketAddr,
-        here: EngineHere,
+        engine: EngineHere,
         seeds: Vec<SocketAddr>,
-        engines: Arc<dyn EngineCalls>,
+        engine_calls: Arc<dyn EngineCalls>,
     ) -> std::io::Result<Self> {
-        let (moves_in, moves) = mpsc::channel(REMEMBERED);
+        let (mover_events_tx, mover_events) = mpsc::channel(MAX_REMEMBERED_MOVES);
         let now = Instant::now();
         Ok(Scout {
-            engines,
-            here,
+            engine_calls,
+            engine,
             seeds,
             socket: Arc::new(WordSocket::bind(peer).await?),
-            listeners: HashMap::new(),
-            named: HashMap::new(),
+            subscribers: HashMap::new(),
+            neighbour_named_at: HashMap::new(),
             neighbours: Arc::new(Neighbours::default()),
-            told: now,
-            last: None,
-            seen: None,
-            renewed: None,
+            last_report_at: now,
+            last_report: None,
+            last_poll: None,
+            last_renewal: None,
             leaving: false,
-            evacuating: None,
-            identity: Identity::new(),
+            mover_reports: None,
+            identity: IdentityTracker::new(),
             load_tracker: EngineLoadTracker::new(),
             outcomes: FailureRate::new(),
             cold: ColdState::default(),
             cold_period: Duration::ZERO,
-            heard: now,
+            last_sent_notice: now,
             clock: Clock::new(),
-            moved: Vec::new(),
-            moves,
-            moves_in,
+            past_moves: Vec::new(),
+            mover_events,
+            mover_events_tx,
         })
     }
 
-    /// Asks and tells until the process ends.
+    /// Polls the engine and serves subscribers until the process ends.
     pub async fn run(mut self) {
-        let mut looks = interval(LOOK);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut polls = interval(POLL_INTERVAL);
+        polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let socket = self.socket.clone();
         let mut buffer = [0; peer_words::MAX_DATAGRAM];
         loop {
             tokio::select! {
-                _ = looks.tick() => self.look().await,
+                _ = polls.tick() => self.poll().await,
                 received = socket.receive(&mut buffer) => {
                     if let Some((length, from)) = received {
-                        self.hear(&buffer[..length], from).await;
+                        self.handle_datagram(&buffer[..length], from).await;
                     }
                 }
-                health = self.identity.answered() => {
+                health = self.identity.next_reply() => {
                     if let Some(health) = health {
                         self.cold.set_remaining(self.clock.now(), health.cold);
-                        self.tell_identity(health.id).await;
+                        self.broadcast_identity(health.id).await;
                     }
                 }
-                Some(news) = self.moves.recv() => match news {
-                    RunNews::Coming(run) => self.tell(&Datagram::Moving(run)).await,
-                    RunNews::Moved(run) => self.tell_moved(run).await,
+                Some(news) = self.mover_events.recv() => match news {
+                    RunNews::Coming(run) => self.broadcast(&Datagram::Moving(run)).await,
+                    RunNews::Moved(run) => self.broadcast_moved(run).await,
                 },
             }
         }
     }
 
-    async fn hear(&mut self, bytes: &[u8], from: SocketAddr) {
+    async fn handle_datagram(&mut self, bytes: &[u8], from: SocketAddr) {
         match peer_words::decode(bytes) {
-            Ok(Datagram::Subscribe(subscription)) => self.subscribed(from, subscription).await,
+            Ok(Datagram::Subscribe(subscription)) => {
+                self.handle_subscription(from, subscription).await
+            }
             Ok(Datagram::Report(report)) if report.here.address.ip() == from.ip() => {
                 self.neighbours.report(&report);
             }
-            Ok(Datagram::Sent(word)) if word.engine == self.here.address => {
-                self.load_tracker.record_sent(self.clock.now(), &word);
-                self.heard = Instant::now();
+            Ok(Datagram::Sent(notice)) if notice.engine == self.engine.address => {
+                self.load_tracker.record_sent(self.clock.now(), &notice);
+                self.last_sent_notice = Instant::now();
             }
-            Ok(Datagram::Ended(word)) if word.engine == self.here.address => {
-                self.outcomes.record(self.clock.now(), word.well);
+            Ok(Datagram::Ended(notice)) if notice.engine == self.engine.address => {
+                self.outcomes.record(self.clock.now(), notice.well);
             }
-            Ok(Datagram::Ask(ask)) if ask.engine == self.here.address => {
-                self.answer(from, ask).await;
+            Ok(Datagram::Ask(ask)) if ask.engine == self.engine.address => {
+                self.answer_probe(from, ask).await;
             }
             Ok(Datagram::WasMoved(id)) => {
-                if let Some(moved) = self.moved.iter().find(|moved| moved.id == id) {
-                    let word = Datagram::Moved(moved.clone());
-                    self.socket.send(&word, &[from]).await;
+                if let Some(moved) = self.past_moves.iter().find(|moved| moved.id == id) {
+                    let datagram = Datagram::Moved(moved.clone());
+                    self.socket.send(&datagram, &[from]).await;
                 }
             }
             Ok(_) => {}
-            Err(error) => tracing::debug!(%from, %error, "scout: a datagram is passed over"),
+            Err(error) => tracing::debug!(%from, %error, "scout: ignored an undecodable datagram"),
         }
     }
 
-    /// Answers a relay that is about to choose. Without a fresh look at the engine there is no answer: the relay
-    /// chooses another one.
-    async fn answer(&mut self, from: SocketAddr, ask: LoadAsk) {
-        // The relay may send a request, and would then want to hear that the engine leaves.
-        self.listeners.entry(from).or_insert_with(Instant::now);
+    /// Answers the load probe of a relay that is about to place a request. Without a recent poll of the
+    /// engine it sends no answer, so that the relay chooses another engine.
+    async fn answer_probe(&mut self, from: SocketAddr, ask: LoadAsk) {
+        // The relay may place a request here, and must then learn when the engine leaves.
+        self.subscribers.entry(from).or_insert_with(Instant::now);
         let now = self.clock.now();
-        let seen = self.seen.as_ref();
-        let fresh = seen.filter(|(at, _)| now.since(*at) < SEEN_AGE);
+        let last_poll = self.last_poll.as_ref();
+        let fresh = last_poll.filter(|(at, _)| now.since(*at) < MAX_POLL_AGE);
         let Some((_, report)) = fresh.cloned() else {
             return;
         };
-        let report = self.word(&report, Some(&ask.id));
+        let report = self.make_report(&report, Some(&ask.id));
         self.load_tracker.reserve(now, &ask);
-        let word = Datagram::Answer(LoadAnswer { id: ask.id, report });
-        self.socket.send(&word, &[from]).await;
+        let datagram = Datagram::Answer(LoadAnswer { id: ask.id, report });
+        self.socket.send(&datagram, &[from]).await;
     }
 
-    async fn subscribed(&mut self, from: SocketAddr, subscription: Subscription) {
+    async fn handle_subscription(&mut self, from: SocketAddr, subscription: Subscription) {
         let now = Instant::now();
         let engines = subscription.neighbours.into_iter();
-        let others = engines.filter(|engine| *engine != self.here.address);
-        self.named.extend(others.map(|engine| (engine, now)));
+        let others = engines.filter(|engine| *engine != self.engine.address);
+        self.neighbour_named_at
+            .extend(others.map(|engine| (engine, now)));
         if let Some(path) = subscription.health {
-            self.identity.set_path(path);
+            self.identity.set_health_path(path);
         }
         if let Some(period) = subscription.cold {
             self.cold_period = Duration::from_millis(u64::from(period));
         }
         self.neighbours.set_evacuated(&subscription.evacuated);
         self.neighbours.set_limited(&subscription.limited);
-        if self.listeners.insert(from, now).is_some() {
+        if self.subscribers.insert(from, now).is_some() {
             return;
         }
-        tracing::info!(%from, "scout: reports are asked for");
-        // It need not wait for the next change: until a report comes it takes the engine for empty.
+        tracing::info!(%from, "scout: new subscriber");
+        // A report is sent at once: until the first one arrives, the subscriber assumes that the engine is
+        // empty.
         if let Some(id) = self.identity.id().filter(|_| !self.leaving) {
-            let word = self.identity_word(id);
-            self.socket.send(&word, &[from]).await;
+            let datagram = self.identity_datagram(id);
+            self.socket.send(&datagram, &[from]).await;
         }
-        if let Some((_, report)) = self.seen.clone() {
-            let word = Datagram::Report(self.word(&report, None));
-            self.socket.send(&word, &[from]).await;
+        if let Some((_, report)) = self.last_poll.clone() {
+            let datagram = Datagram::Report(self.make_report(&report, None));
+            self.socket.send(&datagram, &[from]).await;
         }
     }
 
-    async fn look(&mut self) {
-        self.identity.looked(self.clock.now());
-        self.listeners
-            .retain(|_, asked| asked.elapsed() < SUBSCRIBED);
-        if self.listeners.is_empty() {
-            // It does not look closely meanwhile, and would miss the engine's end.
-            self.identity.forget();
-            self.forget_report();
+    async fn poll(&mut self) {
+        self.identity.record_poll(self.clock.now());
+        self.subscribers
+            .retain(|_, subscribed_at| subscribed_at.elapsed() < SUBSCRIPTION_TTL);
+        if self.subscribers.is_empty() {
+            // The engine is polled too rarely without subscribers to notice a restart.
+            self.identity.reset();
+            self.clear_last_report();
             self.announce().await;
             return;
         }
-        let report = match self.engines.report(self.here.address).await {
+        let report = match self.engine_calls.report(self.engine.address).await {
             Ok(report) => report,
             Err(error) => {
-                tracing::debug!(%error, "scout: the engine does not answer");
-                self.identity.forget();
-                self.forget_report();
+                tracing::debug!(%error, "scout: cannot poll the engine");
+                self.identity.reset();
+                self.clear_last_report();
                 return;
             }
         };
         let now = self.clock.now();
-        let watched = self.seen.as_ref();
-        if watched.is_none_or(|(at, _)| now.since(*at) >= UNWATCHED) {
+        let last_poll = self.last_poll.as_ref();
+        if last_poll.is_none_or(|(at, _)| now.since(*at) >= MAX_UNOBSERVED) {
             self.cold.note_possible_start(now);
         }
         self.load_tracker.update(now, report.clone());
         if !report.leaving {
-            self.identity.ask(&self.engines, self.here.address);
+            self.identity.query(&self.engine_calls, self.engine.address);
         }
-        let turned = report.leaving && !self.leaving;
+        let started_leaving = report.leaving && !self.leaving;
         self.leaving = report.leaving;
-        self.ask_neighbours(turned).await;
-        let word = self.word(&report, None);
-        self.seen = Some((self.clock.now(), report.clone()));
-        if turned || self.told.elapsed() >= self.pause(&word) {
-            self.told = Instant::now();
-            self.tell(&Datagram::Report(word.clone())).await;
-            self.last = Some(word);
+        self.subscribe_to_neighbours(started_leaving).await;
+        let scout_report = self.make_report(&report, None);
+        self.last_poll = Some((self.clock.now(), report.clone()));
+        if started_leaving || self.last_report_at.elapsed() >= self.report_delay(&scout_report) {
+            self.last_report_at = Instant::now();
+            self.broadcast(&Datagram::Report(scout_report.clone()))
+                .await;
+            self.last_report = Some(scout_report);
         }
-        self.evacuate(turned, report);
+        self.update_mover(started_leaving, report);
     }
 
-    fn forget_report(&mut self) {
-        self.last = None;
-        self.seen = None;
+    fn clear_last_report(&mut self) {
+        self.last_report = None;
+        self.last_poll = None;
     }
 
-    /// Says that the engine is there, if it is. Relays learn of it from the directory; while that is out
-    /// of reach, replacements of engines that left would stand idle.
+    /// Announces the engine if it responds and is not leaving. Relays normally learn of engines from the
+    /// directory; while that is unreachable, replacements of engines that left would otherwise stay idle.
     async fn announce(&mut self) {
         if !self.is_renewal_due() {
             return;
         }
-        self.renewed = Some(Instant::now());
-        let report = self.engines.report(self.here.address).await;
+        self.last_renewal = Some(Instant::now());
+        let report = self.engine_calls.report(self.engine.address).await;
         if !report.is_ok_and(|report| !report.leaving) {
             return;
         }
-        let word = Datagram::Here(self.here.clone());
-        self.socket.send(&word, &self.seeds).await;
+        let datagram = Datagram::Here(self.engine.clone());
+        self.socket.send(&datagram, &self.seeds).await;
     }
 
-    /// Keeps the task that moves runs away, while the engine leaves.
-    fn evacuate(&mut self, turned: bool, report: EngineReport) {
+    /// Starts the task that moves runs away when the engine begins to leave, and passes it each new report.
+    fn update_mover(&mut self, started_leaving: bool, report: EngineReport) {
         if !report.leaving {
-            self.evacuating = None;
+            self.mover_reports = None;
             return;
         }
-        if turned {
+        if started_leaving {
             let leaves = report.leaves.map(|time| time.as_millis());
             tracing::info!(
                 ?leaves,
@@ -319,73 +329,75 @@
                 "scout: the engine leaves"
             );
             let (sender, runs) = watch::channel(report);
-            self.evacuating = Some(sender);
+            self.mover_reports = Some(sender);
             tokio::spawn(run_mover::run(
-                self.engines.clone(),
-                self.here.clone(),
+                self.engine_calls.clone(),
+                self.engine.clone(),
                 self.neighbours.clone(),
                 runs,
-                self.moves_in.clone(),
+                self.mover_events_tx.clone(),
             ));
-        } else if let Some(runs) = &self.evacuating {
+        } else if let Some(runs) = &self.mover_reports {
             runs.send_replace(report);
         }
     }
 
-    /// Asks for the reports of the engines to which runs can be moved, while there are runs to move: asked for all
-    /// the time, each scout would tell as many neighbours as relays.
-    async fn ask_neighbours(&mut self, turned: bool) {
-        self.named.retain(|_, named| named.elapsed() < NEIGHBOUR);
-        let due = turned || self.is_renewal_due();
+    /// Subscribes to the reports of engines that runs can be moved to, but only while the engine leaves:
+    /// otherwise each scout would send its reports to as many neighbours as relays.
+    async fn subscribe_to_neighbours(&mut self, started_leaving: bool) {
+        self.neighbour_named_at
+            .retain(|_, named_at| named_at.elapsed() < NEIGHBOUR_TTL);
+        let due = started_leaving || self.is_renewal_due();
         if !self.leaving || !due {
             return;
         }
-        self.renewed = Some(Instant::now());
-        let scouts = self.socket.on_hosts(self.named.keys());
+        self.last_renewal = Some(Instant::now());
+        let scouts = self.socket.addresses_of(self.neighbour_named_at.keys());
         self.socket
             .send(&Datagram::Subscribe(Subscription::default()), &scouts)
             .await;
     }
 
     fn is_renewal_due(&self) -> bool {
-        self.renewed.is_none_or(|at| at.elapsed() >= RENEW)
+        self.last_renewal
+            .is_none_or(|at| at.elapsed() >= RENEWAL_INTERVAL)
     }
 
-    /// Tells all listeners.
-    async fn tell(&self, word: &Datagram) {
-        let listeners: Vec<SocketAddr> = self.listeners.keys().copied().collect();
-        self.socket.send(word, &listeners).await;
+    /// Sends a datagram to all subscribers.
+    async fn broadcast(&self, datagram: &Datagram) {
+        let subscribers: Vec<SocketAddr> = self.subscribers.keys().copied().collect();
+        self.socket.send(datagram, &subscribers).await;
     }
 
-    async fn tell_moved(&mut self, moved: MovedRun) {
-        if self.moved.len() >= REMEMBERED {
-            self.moved.remove(0);
+    async fn broadcast_moved(&mut self, moved: MovedRun) {
+        if self.past_moves.len() >= MAX_REMEMBERED_MOVES {
+            self.past_moves.remove(0);
         }
-        self.moved.push(moved.clone());
-        self.tell_surely(Datagram::Moved(moved)).await;
+        self.past_moves.push(moved.clone());
+        self.broadcast_repeatedly(Datagram::Moved(moved)).await;
     }
 
-    async fn tell_identity(&self, id: Name) {
+    async fn broadcast_identity(&self, id: Name) {
         tracing::info!(server = %id, "scout: the engine names itself");
-        self.tell_surely(self.identity_word(id)).await;
+        self.broadcast_repeatedly(self.identity_datagram(id)).await;
     }
 
-    fn identity_word(&self, id: Name) -> Datagram {
+    fn identity_datagram(&self, id: Name) -> Datagram {
         Datagram::Identity(EngineIdentity {
-            here: self.here.clone(),
+            here: self.engine.clone(),
             id,
         })
     }
 
-    /// Tells all listeners, and again a little later.
-    async fn tell_surely(&self, word: Datagram) {
-        self.tell(&word).await;
-        let listeners: Vec<SocketAddr> = self.listeners.keys().copied().collect();
+    /// Sends a datagram to all subscribers and repeats it after each of [`RETRANSMIT_DELAYS`].
+    async fn broadcast_repeatedly(&self, datagram: Datagram) {
+        self.broadcast(&datagram).await;
+        let subscribers: Vec<SocketAddr> = self.subscribers.keys().copied().collect();
         let socket = self.socket.clone();
         tokio::spawn(async move {
-            for pause in REPEATS {
-                sleep(pause).await;
-                socket.send(&word, &listeners).await;
+            for delay in RETRANSMIT_DELAYS {
+                sleep(delay).await;
+                socket.send(&datagram, &subscribers).await;
             }
         });
     }
--- a/relay/src/scout_reports.rs
+++ b/relay/src/scout_reports.rs
@@ -1,4 +1,4 @@
-//! What a scout reports of its engine, and how often.
+//! The contents of a scout's load reports, and when they are sent.
 
 use std::time::Duration;
 
@@ -9,73 +9,84 @@
 use cicada_lib::placement;
 use tokio::time::Instant;
 
-use crate::scout::LOOK;
+use crate::scout::POLL_INTERVAL;
 use crate::scout::Scout;
 
-/// How often a report goes to each listener while nothing has changed.
-const TELL: Duration = Duration::from_millis(400);
+/// Interval between reports to a subscriber while nothing has changed.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// A change of this part of the memory is told at once, as are requests that came or ended.
-const NEWS_PART: u64 = 32;
+/// A change of more than this fraction of the memory (one part in `MEMORY_CHANGE_DIVISOR`) is reported at
+/// once, as are requests that start or end.
+const MEMORY_CHANGE_DIVISOR: u64 = 32;
 
-/// So is a change of the failing part by more hundredths than this: two more failures among some.
-const NEWS_FAILING: u8 = 10;
+/// A change of the failure rate by more percentage points than this is reported at once as well. It
+/// corresponds to two more failures among a small number of requests.
+const FAILURE_RATE_THRESHOLD: u8 = 10;
 
-/// After a relay's word of a request a report goes out once more at these times, though nothing has changed.
-/// Relays of the zone, and of other regions, count a request beside the reports until one comes that is as
-/// much later; without it they would count it twice for up to 0.4 s, and take the engine for crowded.
-const FOLLOW_UPS: [Duration; 2] = [Duration::from_millis(65), Duration::from_millis(135)];
+/// After a relay announced a request, a report is sent at these times even if nothing has changed. Until a
+/// report arrives that is at least this much later than the announcement, relays of the zone and of other
+/// regions add the announced request to the reported load. Without the report they would count it twice for
+/// up to 0.4 s and consider the engine overloaded.
+const FOLLOW_UP_DELAYS: [Duration; 2] = [Duration::from_millis(65), Duration::from_millis(135)];
 
-/// Datagrams of reports in a second, to all listeners together: at 45 bytes under 7 KB. Beyond five
-/// listeners each gets its reports less often.
-const TELL_RATE: f64 = 150.0;
+/// Maximum number of report datagrams per second, over all subscribers: under 7 KB/s at 45 bytes each. With
+/// more than five subscribers, each receives reports less often.
+const MAX_REPORT_RATE: f64 = 150.0;
 
-/// The time between two reports to relays that ask before they choose. They take from them only that the scout
-/// lives and how full the region is.
-const TELL_ASKERS: Duration = Duration::from_millis(500);
+/// Interval between reports to relays that probe before they place a request. They use the reports only to
+/// see that the scout is alive and how loaded the region is.
+const PROBED_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Scout {
-    /// How long after a report the next one goes out.
-    pub(crate) fn pause(&self, word: &ScoutReport) -> Duration {
-        let load = &word.load;
-        let news = self.last.as_ref().is_none_or(|last| {
+    /// How long after the last report the given one is due.
+    pub(crate) fn report_delay(&self, report: &ScoutReport) -> Duration {
+        let load = &report.load;
+        let changed = self.last_report.as_ref().is_none_or(|last| {
             let last = &last.load;
-            let same = (last.reading, last.running) == (load.reading, load.running);
-            let part = load.capacity / NEWS_PART;
-            let planned = last.planned.abs_diff(load.planned) > part;
-            let failing = last.failing.abs_diff(load.failing) > NEWS_FAILING;
-            let follows = FOLLOW_UPS.iter().any(|after| {
-                let due = self.heard + *after;
-                self.told < due && due <= Instant::now()
+            let same_requests = (last.reading, last.running) == (load.reading, load.running);
+            let threshold = load.capacity / MEMORY_CHANGE_DIVISOR;
+            let planned_changed = last.planned.abs_diff(load.planned) > threshold;
+            let failure_rate_changed = last.failing.abs_diff(load.failing) > FAILURE_RATE_THRESHOLD;
+            let follow_up_due = FOLLOW_UP_DELAYS.iter().any(|after| {
+                let due = self.last_sent_notice + *after;
+                self.last_report_at < due && due <= Instant::now()
             });
-            let cold = (last.cold == 0) != (load.cold == 0);
-            !same
-                || cold
-                || planned
-                || failing
-                || follows
-                || last.unread.abs_diff(load.unread) > part
+            let cold_changed = (last.cold == 0) != (load.cold == 0);
+            !same_requests
+                || cold_changed
+                || planned_changed
+                || failure_rate_changed
+                || follow_up_due
+                || last.unread.abs_diff(load.unread) > threshold
         });
-        let pause = if news { LOOK } else { TELL };
-        pause.max(self.every())
+        let delay = if changed {
+            POLL_INTERVAL
+        } else {
+            HEARTBEAT_INTERVAL
+        };
+        delay.max(self.report_interval())
     }
 
-    /// The time between two reports while there is news.
-    fn every(&self) -> Duration {
-        let shared = self.listeners.len() as f64 / TELL_RATE;
-        let every = LOOK.max(Duration::from_secs_f64(shared));
-        match placement::reports_too_sparse(every) {
-            true => every.max(TELL_ASKERS),
-            false => every,
+    /// The interval between reports while the load changes.
+    fn report_interval(&self) -> Duration {
+        let shared_interval = self.subscribers.len() as f64 / MAX_REPORT_RATE;
+        let interval = POLL_INTERVAL.max(Duration::from_secs_f64(shared_interval));
+        match placement::reports_too_sparse(interval) {
+            true => interval.max(PROBED_REPORT_INTERVAL),
+            false => interval,
         }
     }
 
-    /// What is told of the engine, but for the request `without`.
-    pub(crate) fn word(&mut self, report: &EngineReport, without: Option<&Name>) -> ScoutReport {
+    /// Builds a report of the engine's load, leaving out the request with the identifier `excluded`.
+    pub(crate) fn make_report(
+        &mut self,
+        report: &EngineReport,
+        excluded: Option<&Name>,
+    ) -> ScoutReport {
         let now = self.clock.now();
-        let forecast = self.load_tracker.forecast(now, without);
+        let forecast = self.load_tracker.forecast(now, excluded);
         ScoutReport {
-            here: self.here.clone(),
+            here: self.engine.clone(),
             load: EngineLoad {
                 born: report.born,
                 queued: report.queued,
@@ -90,7 +101,7 @@
                 leaving: report.leaving,
                 leaves: report.leaves.map(|time| time.as_millis() as u32),
                 cold: self.cold.remaining(now, self.cold_period).as_millis() as u32,
-                every: self.every().as_millis() as u32,
+                every: self.report_interval().as_millis() as u32,
             },
         }
     }
--- a/relay/src/word_socket.rs
+++ b/relay/src/word_socket.rs
@@ -1,4 +1,4 @@
-//! The datagrams of relays and scouts, out of one socket.
+//! The socket through which relays and scouts exchange datagrams.
 
 use std::io;
 use std::net::IpAddr;
@@ -8,7 +8,7 @@
 use cicada_lib::peer_words::Datagram;
 use tokio::net::UdpSocket;
 
-/// A socket for words. All processes of a deployment have theirs at the same port.
+/// A UDP socket for encoded datagrams. All processes of a deployment use the same port.
 #[derive(Debug)]
 pub(crate) struct WordSocket {
     socket: UdpSocket,
@@ -16,7 +16,7 @@
 }
 
 impl WordSocket {
-    /// A socket at `address`.
+    /// Binds a socket to `address`.
     pub(crate) async fn bind(address: SocketAddr) -> io::Result<Self> {
         Ok(WordSocket {
             socket: UdpSocket::bind(address).await?,
@@ -24,39 +24,39 @@
         })
     }
 
-    /// Where the process on a host takes words.
-    pub(crate) fn on(&self, host: IpAddr) -> SocketAddr {
+    /// The datagram address of the process on a host.
+    pub(crate) fn address_on(&self, host: IpAddr) -> SocketAddr {
         SocketAddr::new(host, self.port)
     }
 
-    /// Where the processes on the hosts of engines take words.
-    pub(crate) fn on_hosts<'a>(
+    /// The datagram addresses of the processes on the engines' hosts.
+    pub(crate) fn addresses_of<'a>(
         &self,
         engines: impl IntoIterator<Item = &'a SocketAddr>,
     ) -> Vec<SocketAddr> {
         engines
             .into_iter()
-            .map(|engine| self.on(engine.ip()))
+            .map(|engine| self.address_on(engine.ip()))
             .collect()
     }
 
-    /// The next datagram: its length in the buffer, and its sender. `None` where it was lost.
+    /// Receives a datagram into the buffer and returns its length and sender; `None` if receiving failed.
     pub(crate) async fn receive(&self, buffer: &mut [u8]) -> Option<(usize, SocketAddr)> {
         self.socket.recv_from(buffer).await.ok()
     }
 
-    /// Sends a word to each of them.
-    pub(crate) async fn send(&self, word: &Datagram, to: &[SocketAddr]) {
-        let bytes = match peer_words::encode(word) {
+    /// Sends a datagram to each of the addresses.
+    pub(crate) async fn send(&self, datagram: &Datagram, recipients: &[SocketAddr]) {
+        let bytes = match peer_words::encode(datagram) {
             Ok(bytes) => bytes,
             Err(error) => {
-                tracing::warn!(%error, "words: a word could not be written");
+                tracing::warn!(%error, "peers: cannot encode a datagram");
                 return;
             }
         };
-        for to in to {
+        for to in recipients {
             if let Err(error) = self.socket.send_to(&bytes, to).await {
-                tracing::debug!(%to, %error, "words: a datagram could not be sent");
+                tracing::debug!(%to, %error, "peers: cannot send a datagram");
             }
         }
     }
