--- a/relay/src/awake.rs
+++ b/relay/src/awake.rs
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Records that another process reported the versions that it knows.
+    /// Handles the versions that another process reported: if they are not newer than this process's own, its
+    /// state is confirmed.
     pub(crate) fn record_peer_versions(&self, version: u64, revision: Revision) {
         if self.version() >= version && self.revision() >= revision {
             self.freeze_detector().state_received(self.now());
--- a/relay/src/choice.rs
+++ b/relay/src/choice.rs
@@ -91,7 +91,7 @@
     servers: &[ServerKey],
 ) -> Vec<ServerKey> {
     let (asks, trip) = questions(relay, id, need, servers);
-    let answered = relay.asks().ask(asks, trip).await;
+    let answered = relay.load_probes().probe(asks, trip).await;
     relay.figures().asked(servers.len(), answered.len());
     let fleet = relay.fleet();
     let keys = answered.iter().filter_map(|engine| fleet.key_at(*engine));
--- a/relay/src/engine_words.rs
+++ b/relay/src/engine_words.rs
@@ -24,7 +24,7 @@
             .fleet()
             .apply_load_answer(self.now(), &report.here, &load);
         self.handle_leaving(started_leaving, report);
-        self.asks().answered(answer);
+        self.load_probes().record_answer(answer);
     }
 
     /// The reported load, without the failure rate if the settings disable avoiding failing engines.
--- a/relay/src/keeper.rs
+++ b/relay/src/keeper.rs
@@ -307,8 +307,8 @@
                 Ok(peers) => {
                     let others = peers.into_iter().filter(|p| p.entry).map(|p| p.address);
                     let mut known = self.relay.peers();
-                    known.learn(own.address, others);
-                    known.set_listed();
+                    known.add_known(own.address, others);
+                    known.set_list_read();
                     drop(known);
                     self.relay.share_among_entries();
                     PEERS_INTERVAL
@@ -346,11 +346,17 @@
         let (mut version, mut revision) = (0, Revision::default());
         loop {
             sleep(PULL_INTERVAL).await;
-            let ahead = self.relay.peers().with_config_after(self.relay.version());
+            let ahead = self
+                .relay
+                .peers()
+                .most_advanced_config(self.relay.version());
             if let Some(peer) = ahead.filter(|_| self.relay.version() == version) {
                 self.pull_from(peer, &PeerQuestion::Config(version)).await;
             }
-            let ahead = self.relay.peers().with_servers_after(self.relay.revision());
+            let ahead = self
+                .relay
+                .peers()
+                .most_advanced_servers(self.relay.revision());
             if let Some(peer) = ahead.filter(|_| self.relay.revision() == revision) {
                 self.pull_from(peer, &PeerQuestion::Servers(revision)).await;
             }
@@ -361,7 +367,7 @@
 
     async fn pull_from(&self, peer: SocketAddr, question: &PeerQuestion) {
         let before = self.relay.revision();
-        match peer_pull::ask(peer, question).await {
+        match peer_pull::request(peer, question).await {
             Ok(PeerAnswer::Nothing) => {}
             Ok(PeerAnswer::Config(config)) => {
                 tracing::info!(%peer, version = config.version, "peers: a configuration came from a relay");
--- a/relay/src/load_asks.rs
+++ b/relay/src/load_asks.rs
@@ -1,4 +1,4 @@
-//! Questions to scouts at the moment of a choice, and their answers. See `cicada_lib::placement`.
+//! Load probes: queries to scouts when a relay is about to place a request. See `cicada_lib::placement`.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,44 +14,44 @@
 
 use crate::lock::lock;
 
-/// How long answers are awaited beyond one and a half round trips: a scout that shares a slow processor takes some
-/// more, and one whose host is gone would hold up every request that draws it.
-const WAIT: Duration = Duration::from_millis(12);
+/// How long to wait for answers in addition to one and a half round trips. A scout on a slow shared processor
+/// needs a little longer, while one whose host is gone delays every request that probes it.
+const PROCESSING_ALLOWANCE: Duration = Duration::from_millis(12);
 
-/// Questions that wait to be sent.
-const WAITING_ASKS: usize = 256;
+/// Capacity of the queue of probes to send.
+const PROBE_QUEUE: usize = 256;
 
-/// By attempt: where the answers go.
-type Askers = Mutex<HashMap<Name, mpsc::Sender<SocketAddr>>>;
+/// For each attempt with a pending probe, where to send the answers.
+type PendingProbes = Mutex<HashMap<Name, mpsc::Sender<SocketAddr>>>;
 
-/// The questions that are open.
-pub(crate) struct LoadAsks {
-    open: Askers,
-    asks: mpsc::Sender<Vec<LoadAsk>>,
+/// The pending load probes.
+pub(crate) struct LoadProbes {
+    pending: PendingProbes,
+    queue: mpsc::Sender<Vec<LoadAsk>>,
 }
 
-impl LoadAsks {
-    /// No questions, and those that will have to be sent.
+impl LoadProbes {
+    /// Creates an empty set, and the queue from which probes are sent.
     pub(crate) fn new() -> (Self, mpsc::Receiver<Vec<LoadAsk>>) {
-        let (asks, pending) = mpsc::channel(WAITING_ASKS);
-        let open = Mutex::default();
-        (LoadAsks { open, asks }, pending)
+        let (queue, queued) = mpsc::channel(PROBE_QUEUE);
+        let pending = Mutex::default();
+        (LoadProbes { pending, queue }, queued)
     }
 
-    /// Asks the scouts of the engines, the farthest of which is a round trip away; the engines whose scouts have
-    /// answered in time.
-    pub(crate) async fn ask(&self, asks: Vec<LoadAsk>, trip: Duration) -> Vec<SocketAddr> {
-        let Some(id) = asks.first().map(|ask| ask.id.clone()) else {
+    /// Probes the scouts of the engines and returns the engines whose scouts answered in time. `trip` is the
+    /// round trip to the farthest of them.
+    pub(crate) async fn probe(&self, probes: Vec<LoadAsk>, trip: Duration) -> Vec<SocketAddr> {
+        let Some(id) = probes.first().map(|probe| probe.id.clone()) else {
             return Vec::new();
         };
-        let asked = asks.len();
-        let (answers_in, mut answers) = mpsc::channel(asked);
-        let _open = OpenAsk::new(&self.open, id, answers_in);
-        let mut answered = Vec::with_capacity(asked);
-        if self.asks.try_send(asks).is_ok() {
-            let until = Instant::now() + WAIT + trip.mul_f64(1.5);
-            while answered.len() < asked {
-                let Ok(Some(engine)) = timeout_at(until, answers.recv()).await else {
+        let sent = probes.len();
+        let (answers_tx, mut answers) = mpsc::channel(sent);
+        let _pending = PendingProbe::new(&self.pending, id, answers_tx);
+        let mut answered = Vec::with_capacity(sent);
+        if self.queue.try_send(probes).is_ok() {
+            let deadline = Instant::now() + PROCESSING_ALLOWANCE + trip.mul_f64(1.5);
+            while answered.len() < sent {
+                let Ok(Some(engine)) = timeout_at(deadline, answers.recv()).await else {
                     break;
                 };
                 answered.push(engine);
@@ -60,33 +60,33 @@
         answered
     }
 
-    /// A scout has answered, and its engine's load is noted.
-    pub(crate) fn answered(&self, answer: &LoadAnswer) {
-        let open = lock(&self.open);
-        let Some(asker) = open.get(&answer.id) else {
+    /// Records a scout's answer, after the load in it has been applied.
+    pub(crate) fn record_answer(&self, answer: &LoadAnswer) {
+        let pending = lock(&self.pending);
+        let Some(answers) = pending.get(&answer.id) else {
             return;
         };
-        if asker.try_send(answer.report.here.address).is_err() {
+        if answers.try_send(answer.report.here.address).is_err() {
             tracing::debug!(id = %answer.id, "placement: a scout answered twice");
         }
     }
 }
 
-/// An open question, until it is dropped: also where the caller goes away while answers are awaited.
-struct OpenAsk<'a> {
-    open: &'a Askers,
+/// Removes a pending probe when dropped, also if the caller goes away while answers are awaited.
+struct PendingProbe<'a> {
+    pending: &'a PendingProbes,
     id: Name,
 }
 
-impl<'a> OpenAsk<'a> {
-    fn new(open: &'a Askers, id: Name, answers: mpsc::Sender<SocketAddr>) -> Self {
-        lock(open).insert(id.clone(), answers);
-        OpenAsk { open, id }
+impl<'a> PendingProbe<'a> {
+    fn new(pending: &'a PendingProbes, id: Name, answers: mpsc::Sender<SocketAddr>) -> Self {
+        lock(pending).insert(id.clone(), answers);
+        PendingProbe { pending, id }
     }
 }
 
-impl Drop for OpenAsk<'_> {
+impl Drop for PendingProbe<'_> {
     fn drop(&mut self) {
-        lock(self.open).remove(&self.id);
+        lock(self.pending).remove(&self.id);
     }
 }
--- a/relay/src/peer_net.rs
+++ b/relay/src/peer_net.rs
@@ -1,4 +1,5 @@
-//! A relay's datagrams: reports of engines come in, subscriptions go out.
+//! A relay's datagrams: load reports and messages of other processes come in; subscriptions, hellos, notices
+//! and probes go out.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -23,36 +24,39 @@
 use crate::word_socket::WordSocket;
 use crate::zone_probes::ZoneProbes;
 
-/// How often subscriptions are renewed: a scout keeps one for four of them, so that lost datagrams cost
-/// nothing.
-const RENEW: Duration = Duration::from_millis(700);
+/// Interval at which subscriptions are renewed. Scouts keep a subscription for several intervals, so lost
+/// datagrams do no harm.
+const SUBSCRIPTION_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How often other relays are told: a change that one host alone does not hear of must reach it within
-/// a second or two.
-const HELLO: Duration = Duration::from_millis(400);
+/// Interval between hellos to other relays: a change that one host cannot read from the directory must reach
+/// it within one or two seconds.
+const HELLO_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How often the ways to other availability zones are probed.
-const PROBE: Duration = Duration::from_secs(1);
+/// Interval between round-trip probes to other availability zones.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often the zone is told of callers that were turned away: none of them is asked back sooner than
-/// 200 ms later.
-const TELL_REFUSALS: Duration = Duration::from_millis(100);
+/// Interval at which rejected callers are announced to the zone's relays. None of these callers is asked to
+/// retry sooner than after 200 ms.
+const REJECTIONS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Relays that are named to others in a word.
-const PASSED_ON: usize = 4;
+/// Number of relays that a hello names.
+const MAX_NAMED_RELAYS: usize = 4;
 
-/// Engines that a subscription names: they fit into a datagram, and are more than runs are moved to.
-const MOST_NAMED: usize = 64;
+/// Maximum number of neighbours that a subscription names: they fit into a datagram, and runs are never moved
+/// to that many engines.
+const MAX_NAMED_NEIGHBOURS: usize = 64;
 
-/// Relays that name a scout's neighbours to it in a round of subscriptions: one within several rounds is enough.
-/// Named by all relays, they would be most of what a scout receives.
-const NAMING: f64 = 3.0;
+/// Average number of relays that name a scout's neighbours in each round of subscriptions. It is enough if
+/// one does within several rounds; if all relays named them, the lists would be most of what a scout
+/// receives.
+const RELAYS_NAMING_NEIGHBOURS: f64 = 3.0;
 
-/// Engines of all regions that a relay follows. Beyond this it follows those of its own region, and elsewhere
-/// those that run something of its own; where a stream is to go to another region, it asks.
-const FOLLOWED: usize = 64;
+/// If there are more engines than this in all regions, a relay subscribes only to those of its own region and
+/// to those elsewhere that run requests of its own. To place a stream in another region it probes engines
+/// there.
+const MAX_SUBSCRIBED_ENGINES: usize = 64;
 
-/// The datagrams of a relay.
+/// Sends and receives a relay's datagrams.
 pub(crate) struct PeerNet {
     relay: Arc<Relay>,
     socket: WordSocket,
@@ -60,7 +64,7 @@
 }
 
 impl PeerNet {
-    /// A socket at `peer`; all other processes have theirs at the same port.
+    /// Binds the socket to `peer`. All other processes use the same port.
     pub(crate) async fn bind(relay: Arc<Relay>, peer: SocketAddr) -> std::io::Result<Self> {
         Ok(PeerNet {
             relay,
@@ -69,45 +73,45 @@
         })
     }
 
-    /// Hears and tells until the process ends.
-    pub(crate) async fn run(mut self, mut asks: mpsc::Receiver<MoveAsk>, pending: Pending) {
+    /// Exchanges datagrams until the process ends.
+    pub(crate) async fn run(mut self, mut move_queries: mpsc::Receiver<MoveAsk>, pending: Pending) {
         let Pending {
             mut sent,
             mut ended,
             mut news,
-            asks: mut load_asks,
+            asks: mut load_probes,
         } = pending;
-        let mut renewals = interval(RENEW);
+        let mut renewals = interval(SUBSCRIPTION_INTERVAL);
         renewals.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut hellos = interval(HELLO);
+        let mut hellos = interval(HELLO_INTERVAL);
         hellos.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut probes = interval(PROBE);
-        probes.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut refusals = interval(TELL_REFUSALS);
-        refusals.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut zone_probes = interval(PROBE_INTERVAL);
+        zone_probes.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut rejections = interval(REJECTIONS_INTERVAL);
+        rejections.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut buffer = [0; peer_words::MAX_DATAGRAM];
         loop {
             tokio::select! {
                 _ = renewals.tick() => self.subscribe().await,
-                () = self.relay.engines_joined() => self.subscribe_new().await,
-                _ = hellos.tick() => self.hello().await,
-                () = self.relay.hello_due() => self.hello().await,
-                _ = refusals.tick() => self.tell_refusals().await,
-                _ = probes.tick() => self.probe().await,
-                Some(news) = news.recv() => self.tell_news(news).await,
-                Some(asks) = load_asks.recv() => self.ask_load(asks).await,
-                Some(sent) = sent.recv() => self.tell_sent(sent).await,
-                Some(word) = ended.recv() => {
-                    let scout = self.socket.address_on(word.engine.ip());
-                    self.socket.send(&Datagram::Ended(word), &[scout]).await;
+                () = self.relay.engines_joined() => self.subscribe_to_joined().await,
+                _ = hellos.tick() => self.send_hello().await,
+                () = self.relay.hello_due() => self.send_hello().await,
+                _ = rejections.tick() => self.send_rejections().await,
+                _ = zone_probes.tick() => self.send_zone_probes().await,
+                Some(news) = news.recv() => self.send_server_changes(news).await,
+                Some(probes) = load_probes.recv() => self.send_load_probes(probes).await,
+                Some(sent) = sent.recv() => self.send_request_notice(sent).await,
+                Some(notice) = ended.recv() => {
+                    let scout = self.socket.address_on(notice.engine.ip());
+                    self.socket.send(&Datagram::Ended(notice), &[scout]).await;
                 }
-                Some(ask) = asks.recv() => {
-                    let scout = self.socket.address_on(ask.engine.ip());
-                    self.socket.send(&Datagram::WasMoved(ask.id), &[scout]).await;
+                Some(query) = move_queries.recv() => {
+                    let scout = self.socket.address_on(query.engine.ip());
+                    self.socket.send(&Datagram::WasMoved(query.id), &[scout]).await;
                 }
                 received = self.socket.receive(&mut buffer) => {
                     if let Some((length, from)) = received {
-                        self.heard(&buffer[..length], from).await;
+                        self.handle_datagram(&buffer[..length], from).await;
                     }
                 }
             }
@@ -118,36 +122,42 @@
         let now = self.relay.now();
         self.relay.fleet().remove_silent_engines(now);
         let groups = self.relay.engine_groups();
-        let all = groups.iter().map(|group| group.engines.len()).sum();
+        let total = groups.iter().map(|group| group.engines.len()).sum();
         for group in groups {
-            let engines = self.followed(&group, all);
-            let neighbours = match group.near && self.names() {
-                true => group.engines.iter().copied().take(MOST_NAMED).collect(),
+            let engines = self.engines_to_subscribe(&group, total);
+            let neighbours = match group.near && self.names_neighbours() {
+                true => group
+                    .engines
+                    .iter()
+                    .copied()
+                    .take(MAX_NAMED_NEIGHBOURS)
+                    .collect(),
                 false => Vec::new(),
             };
             self.subscribe_to(&group, &engines, neighbours).await;
         }
     }
 
-    /// The engines of a group whose reports this relay wants, where there are so many in `all`.
-    fn followed(&self, group: &EngineGroup, all: usize) -> Vec<SocketAddr> {
+    /// The engines of a group whose reports this relay needs, if `total` engines are known.
+    fn engines_to_subscribe(&self, group: &EngineGroup, total: usize) -> Vec<SocketAddr> {
         let mut engines = group.engines.clone();
-        if !group.near && all > FOLLOWED {
+        if !group.near && total > MAX_SUBSCRIBED_ENGINES {
             let fleet = self.relay.fleet();
             engines.retain(|engine| fleet.has_open_requests_at(*engine));
         }
         engines
     }
 
-    /// Whether this relay names neighbours in this round. Relays of the region take turns by chance.
-    fn names(&self) -> bool {
+    /// Whether this relay names neighbours in this round. Each relay of the region decides at random, so that
+    /// on average `RELAYS_NAMING_NEIGHBOURS` do.
+    fn names_neighbours(&self) -> bool {
         let relays = self.relay.relays_in_region();
-        fastrand::f64() * (relays as f64) < NAMING
+        fastrand::f64() * (relays as f64) < RELAYS_NAMING_NEIGHBOURS
     }
 
-    /// Asks for the reports of engines that have just come. Until the next renewal they would count as
-    /// empty, and after all hosts have started again as the former lives that the list names.
-    async fn subscribe_new(&self) {
+    /// Subscribes to engines that have just joined. Until the next renewal they would count as empty, and
+    /// after a restart of all hosts as the former incarnations that the list still names.
+    async fn subscribe_to_joined(&self) {
         let joined: HashSet<SocketAddr> = self
             .relay
             .fleet()
@@ -158,9 +168,9 @@
             return;
         }
         let groups = self.relay.engine_groups();
-        let all = groups.iter().map(|group| group.engines.len()).sum();
+        let total = groups.iter().map(|group| group.engines.len()).sum();
         for group in groups {
-            let engines = self.followed(&group, all).into_iter();
+            let engines = self.engines_to_subscribe(&group, total).into_iter();
             let new: Vec<SocketAddr> = engines.filter(|e| joined.contains(e)).collect();
             self.subscribe_to(&group, &new, Vec::new()).await;
         }
@@ -172,7 +182,7 @@
         engines: &[SocketAddr],
         neighbours: Vec<SocketAddr>,
     ) {
-        let word = Datagram::Subscribe(Subscription {
+        let datagram = Datagram::Subscribe(Subscription {
             neighbours,
             health: Some(group.health.clone()),
             cold: Some(group.cold.as_millis() as u32),
@@ -180,109 +190,113 @@
             limited: group.limited.clone(),
         });
         let scouts = self.socket.addresses_of(engines);
-        self.socket.send(&word, &scouts).await;
+        self.socket.send(&datagram, &scouts).await;
     }
 
-    async fn hello(&self) {
+    async fn send_hello(&self) {
         self.relay.record_heartbeat();
         self.relay.share_among_entries();
-        let word = Datagram::Hello(RelayHello {
+        let datagram = Datagram::Hello(RelayHello {
             zone: self.relay.settings().place.zone.clone(),
             fed: self.relay.is_fed(),
             version: self.relay.version(),
             revision: self.relay.revision(),
-            others: self.relay.peers().some(PASSED_ON),
+            others: self.relay.peers().sample_heard(MAX_NAMED_RELAYS),
             evacuated: self.relay.evacuated(),
             limits: self.relay.limit_reports(),
         });
         if self.relay.is_fed() {
-            self.tell_region(&word).await;
+            self.send_to_region(&datagram).await;
         }
-        self.tell_peers(&word).await;
+        self.gossip(&datagram).await;
     }
 
-    /// Tells the relays of the zone whom this one has turned away: they come to these.
-    async fn tell_refusals(&self) {
+    /// Announces to the relays of the zone which callers this one has rejected: they may retry there.
+    async fn send_rejections(&self) {
         let now = self.relay.now();
         let returns = self.relay.returns().take_unsent(now);
         if !returns.is_empty() {
-            self.tell_zone(&Datagram::TurnedAway(returns)).await;
+            self.send_to_zone(&Datagram::TurnedAway(returns)).await;
         }
     }
 
-    async fn tell_zone(&self, word: &Datagram) {
+    async fn send_to_zone(&self, datagram: &Datagram) {
         let own = &self.relay.settings().place.zone;
-        let peers = self.relay.peers().of_zones(|zone| zone == own);
-        self.socket.send(word, &peers).await;
+        let peers = self.relay.peers().recently_heard_in(|zone| zone == own);
+        self.socket.send(datagram, &peers).await;
     }
 
-    async fn tell_region(&self, word: &Datagram) {
-        let peers = self.relay.peers().of_zones(|zone| self.relay.is_near(zone));
-        self.socket.send(word, &peers).await;
+    async fn send_to_region(&self, datagram: &Datagram) {
+        let peers = self
+            .relay
+            .peers()
+            .recently_heard_in(|zone| self.relay.is_near(zone));
+        self.socket.send(datagram, &peers).await;
     }
 
-    /// Tells the relays of the region of changes of the list. Those that miss it ask, see `peer_pull`.
-    async fn tell_news(&self, news: ServerNews) {
-        let word = Datagram::News(news);
-        let fits = peer_words::encode(&word).is_ok_and(|b| b.len() <= peer_words::MAX_DATAGRAM);
+    /// Sends changes of the server list to the relays of the region. Relays that miss a datagram pull the
+    /// changes, see `peer_pull`.
+    async fn send_server_changes(&self, news: ServerNews) {
+        let datagram = Datagram::News(news);
+        let fits = peer_words::encode(&datagram).is_ok_and(|b| b.len() <= peer_words::MAX_DATAGRAM);
         if fits {
-            self.tell_region(&word).await;
+            self.send_to_region(&datagram).await;
         }
-        self.hello().await;
+        self.send_hello().await;
     }
 
-    async fn tell_sent(&self, Sent { word, widely }: Sent) {
-        let mut told = match widely {
-            true => self.relay.peers().pick_for_sent(),
+    async fn send_request_notice(&self, Sent { word, widely }: Sent) {
+        let mut recipients = match widely {
+            true => self.relay.peers().request_notice_targets(),
             false => Vec::new(),
         };
-        told.push(self.socket.address_on(word.engine.ip()));
-        self.socket.send(&Datagram::Sent(word), &told).await;
+        recipients.push(self.socket.address_on(word.engine.ip()));
+        self.socket.send(&Datagram::Sent(word), &recipients).await;
     }
 
-    async fn ask_load(&self, asks: Vec<LoadAsk>) {
-        for ask in asks {
-            let scout = self.socket.address_on(ask.engine.ip());
-            self.socket.send(&Datagram::Ask(ask), &[scout]).await;
+    async fn send_load_probes(&self, probes: Vec<LoadAsk>) {
+        for probe in probes {
+            let scout = self.socket.address_on(probe.engine.ip());
+            self.socket.send(&Datagram::Ask(probe), &[scout]).await;
         }
     }
 
-    async fn tell_peers(&self, word: &Datagram) {
-        let peers = self.relay.peers().pick();
-        self.socket.send(word, &peers).await;
+    async fn gossip(&self, datagram: &Datagram) {
+        let peers = self.relay.peers().gossip_targets();
+        self.socket.send(datagram, &peers).await;
     }
 
-    /// Probes the way to each other availability zone.
-    async fn probe(&mut self) {
+    /// Measures the round trip to each other availability zone.
+    async fn send_zone_probes(&mut self) {
         let own = &self.relay.settings().place.zone;
-        let peers = self.relay.peers().one_of_each_zone(own);
+        let peers = self.relay.peers().sample_other_zones(own);
         for (peer, zone) in peers {
-            let number = self.probes.send(self.relay.now(), peer, zone);
-            self.socket.send(&Datagram::Ping(number), &[peer]).await;
+            let sequence = self.probes.start(self.relay.now(), peer, zone);
+            self.socket.send(&Datagram::Ping(sequence), &[peer]).await;
         }
     }
 
-    async fn heard(&mut self, bytes: &[u8], from: SocketAddr) {
+    async fn handle_datagram(&mut self, bytes: &[u8], from: SocketAddr) {
         match peer_words::decode(bytes) {
-            Ok(Datagram::Ping(number)) => {
-                self.socket.send(&Datagram::Pong(number), &[from]).await;
+            Ok(Datagram::Ping(sequence)) => {
+                self.socket.send(&Datagram::Pong(sequence), &[from]).await;
             }
-            Ok(Datagram::Pong(number)) => {
+            Ok(Datagram::Pong(sequence)) => {
                 let now = self.relay.now();
-                if let Some((zone, took)) = self.probes.answered(now, from, number) {
+                if let Some((zone, took)) = self.probes.finish(now, from, sequence) {
                     self.relay.fleet().record_round_trip(now, &zone, took);
                 }
             }
             _ => {
-                if let Some(word) = self.hear(bytes, from) {
-                    self.tell_peers(&word).await;
+                if let Some(datagram) = self.apply_datagram(bytes, from) {
+                    self.gossip(&datagram).await;
                 }
             }
         }
     }
 
-    /// Takes a word in; the word to pass on, if there is one.
-    fn hear(&self, bytes: &[u8], from: SocketAddr) -> Option<Datagram> {
+    /// Applies a datagram to the relay's state and returns the datagram to pass on, if any.
+    fn apply_datagram(&self, bytes: &[u8], from: SocketAddr) -> Option<Datagram> {
         match peer_words::decode(bytes) {
             Ok(Datagram::Report(report)) if report.here.address.ip() == from.ip() => {
                 self.relay.handle_report(&report);
@@ -301,22 +315,22 @@
                 self.relay.returns().merge(now, &returns);
             }
             Ok(Datagram::News(news)) => self.relay.news(&news),
-            Ok(Datagram::Sent(word)) => self.relay.sent_elsewhere(&word),
+            Ok(Datagram::Sent(notice)) => self.relay.sent_elsewhere(&notice),
             Ok(Datagram::Here(here)) if here.address.ip() == from.ip() => {
                 self.relay.handle_announcement(&here);
                 return Some(Datagram::HerePassedOn(here));
             }
-            Ok(Datagram::Identity(word)) if word.here.address.ip() == from.ip() => {
-                self.relay.handle_identity(&word);
+            Ok(Datagram::Identity(identity)) if identity.here.address.ip() == from.ip() => {
+                self.relay.handle_identity(&identity);
             }
-            // Passed on by each relay to which it is news, so that it reaches all of them.
+            // Every relay to which the announcement is new passes it on, so that it reaches all of them.
             Ok(Datagram::HerePassedOn(here)) if self.relay.handle_announcement(&here) => {
                 return Some(Datagram::HerePassedOn(here));
             }
             Ok(Datagram::Hello(hello)) => {
                 let mut peers = self.relay.peers();
-                peers.heard(from, &hello);
-                peers.learn(self.relay.settings().peer, hello.others);
+                peers.record_hello(from, &hello);
+                peers.add_known(self.relay.settings().peer, hello.others);
                 drop(peers);
                 self.relay.set_evacuated(&hello.evacuated);
                 self.relay.apply_limit_reports(from, &hello.limits);
@@ -324,7 +338,7 @@
                     .record_peer_versions(hello.version, hello.revision);
             }
             Ok(_) => {}
-            Err(error) => tracing::debug!(%from, %error, "peers: a datagram is passed over"),
+            Err(error) => tracing::debug!(%from, %error, "peers: ignored an undecodable datagram"),
         }
         None
     }
--- a/relay/src/peer_pull.rs
+++ b/relay/src/peer_pull.rs
@@ -1,7 +1,7 @@
-//! Relays read from each other what the directory does not give them.
+//! Requests between relays over TCP, for state that the directory does not give one of them.
 //!
-//! The directory may turn one host away while it serves the others. Without this, such a host would go
-//! on by a configuration whose keys are revoked, and send work to servers that have left.
+//! The directory may reject one host while it serves the others. Without these requests such a host would
+//! keep using a configuration whose keys have been revoked, and send requests to servers that have left.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,74 +21,74 @@
 
 use crate::relay::Relay;
 
-/// The longest time for one question and its answer: a configuration of some hundred kilobytes over
+/// Time limit of one request and its response: enough for a configuration of several hundred kilobytes in
 /// three round trips between regions.
-const ASK_TIME: Duration = Duration::from_millis(1_200);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The largest question, and the largest answer. The directory's own values have a megabyte.
-const MOST_QUESTION: u32 = 1_024;
-const MOST_ANSWER: u32 = 16 * 1_024 * 1_024;
+/// Maximum size of a request, and of a response. The directory limits its values to one megabyte.
+const MAX_REQUEST_SIZE: u32 = 1_024;
+const MAX_RESPONSE_SIZE: u32 = 16 * 1_024 * 1_024;
 
-/// The pause after a connection that could not be taken.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Answers other relays until the process ends.
+/// Serves requests of other relays until the process ends.
 pub(crate) async fn serve(relay: Arc<Relay>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let relay = relay.clone();
         tokio::spawn(async move {
-            let answering = timeout(ASK_TIME, answer(&relay, stream)).await;
-            match answering {
+            let outcome = timeout(REQUEST_TIMEOUT, respond(&relay, stream)).await;
+            match outcome {
                 Ok(Ok(())) => {}
-                Ok(Err(error)) => tracing::debug!(%from, %error, "peers: a question failed"),
-                Err(_) => tracing::debug!(%from, "peers: a question took too long"),
+                Ok(Err(error)) => tracing::debug!(%from, %error, "peers: a request failed"),
+                Err(_) => tracing::debug!(%from, "peers: a request timed out"),
             }
         });
     }
 }
 
-/// Asks another relay.
-pub(crate) async fn ask(peer: SocketAddr, question: &PeerQuestion) -> eyre::Result<PeerAnswer> {
+/// Sends a request to another relay and returns its response.
+pub(crate) async fn request(peer: SocketAddr, question: &PeerQuestion) -> eyre::Result<PeerAnswer> {
     let exchange = async {
         let mut stream = TcpStream::connect(peer).await?;
-        write(&mut stream, &peer_words::encode(question)?).await?;
-        let bytes = read(&mut stream, MOST_ANSWER).await?;
+        write_message(&mut stream, &peer_words::encode(question)?).await?;
+        let bytes = read_message(&mut stream, MAX_RESPONSE_SIZE).await?;
         eyre::Ok(peer_words::decode(&bytes)?)
     };
-    timeout(ASK_TIME, exchange)
+    timeout(REQUEST_TIMEOUT, exchange)
         .await
-        .wrap_err("no answer in time")?
+        .wrap_err("no response in time")?
 }
 
-async fn answer(relay: &Relay, mut stream: TcpStream) -> eyre::Result<()> {
-    let bytes = read(&mut stream, MOST_QUESTION).await?;
-    let answer = match peer_words::decode(&bytes)? {
+async fn respond(relay: &Relay, mut stream: TcpStream) -> eyre::Result<()> {
+    let bytes = read_message(&mut stream, MAX_REQUEST_SIZE).await?;
+    let response = match peer_words::decode(&bytes)? {
         PeerQuestion::Config(version) if relay.version() > version => {
             PeerAnswer::Config(relay.table().config().clone())
         }
         PeerQuestion::Servers(revision) if relay.revision() > revision => {
-            let missed = relay.changes_since(revision);
-            missed.map_or_else(|| PeerAnswer::Servers(relay.listing()), PeerAnswer::Changes)
+            let changes = relay.changes_since(revision);
+            changes.map_or_else(|| PeerAnswer::Servers(relay.listing()), PeerAnswer::Changes)
         }
         PeerQuestion::Config(_) | PeerQuestion::Servers(_) => PeerAnswer::Nothing,
     };
-    write(&mut stream, &peer_words::encode(&answer)?).await
+    write_message(&mut stream, &peer_words::encode(&response)?).await
 }
 
-async fn write(stream: &mut TcpStream, bytes: &[u8]) -> eyre::Result<()> {
+async fn write_message(stream: &mut TcpStream, bytes: &[u8]) -> eyre::Result<()> {
     stream.write_u32(u32::try_from(bytes.len())?).await?;
     stream.write_all(bytes).await?;
     Ok(())
 }
 
-async fn read(stream: &mut TcpStream, most: u32) -> eyre::Result<Vec<u8>> {
+async fn read_message(stream: &mut TcpStream, limit: u32) -> eyre::Result<Vec<u8>> {
     let length = stream.read_u32().await?;
-    if length > most {
-        bail!("a message of {length} bytes is over the limit of {most}");
+    if length > limit {
+        bail!("a message of {length} bytes exceeds the limit of {limit}");
     }
     let mut bytes = vec![0; length as usize];
     stream.read_exact(&mut bytes).await?;
--- a/relay/src/relay.rs
+++ b/relay/src/relay.rs
@@ -37,7 +37,7 @@
 
 use crate::caller_server;
 use crate::figures::Figures;
-use crate::load_asks::LoadAsks;
+use crate::load_asks::LoadProbes;
 use crate::lock::lock;
 use crate::moved_runs::MovedRuns;
 use crate::peer_net::PeerNet;
@@ -108,7 +108,7 @@
     pub(crate) sent: mpsc::Sender<Sent>,
     pub(crate) ended: mpsc::Sender<RunEnded>,
     pub(crate) news: mpsc::Sender<ServerNews>,
-    pub(crate) asks: LoadAsks,
+    pub(crate) load_probes: LoadProbes,
     // Told when the list has changed, and engines may have come.
     pub(crate) joined: Notify,
     // Told when other relays are to hear something at once.
@@ -136,7 +136,7 @@
         let (sent, sent_out) = mpsc::channel(WAITING_WORDS);
         let (ended, ended_out) = mpsc::channel(WAITING_WORDS);
         let (news, news_out) = mpsc::channel(WAITING_WORDS);
-        let (asks, asks_out) = LoadAsks::new();
+        let (load_probes, asks_out) = LoadProbes::new();
         let clock = Clock::new();
         let pending = Pending {
             sent: sent_out,
@@ -148,7 +148,7 @@
             sent,
             ended,
             news,
-            asks,
+            load_probes,
             joined: Notify::new(),
             hello_due: Notify::new(),
             pending: Mutex::new(Some(pending)),
@@ -183,7 +183,7 @@
     /// Binds the addresses and serves in the current runtime.
     pub async fn serve(self: &Arc<Self>) -> std::io::Result<()> {
         self.peers()
-            .learn(self.settings.peer, self.settings.seeds.iter().copied());
+            .add_known(self.settings.peer, self.settings.seeds.iter().copied());
         let questions = caller_server::listen(self.settings.peer)?;
         tokio::spawn(peer_pull::serve(self.clone(), questions));
         let peers = PeerNet::bind(self.clone(), self.settings.peer).await?;
@@ -293,9 +293,9 @@
         self.table.load_full()
     }
 
-    /// The questions to scouts that are open.
-    pub(crate) fn asks(&self) -> &LoadAsks {
-        &self.asks
+    /// The pending load probes.
+    pub(crate) fn load_probes(&self) -> &LoadProbes {
+        &self.load_probes
     }
 
     /// Whether this process has stood still. Held for microseconds.
--- a/relay/src/relay_view.rs
+++ b/relay/src/relay_view.rs
@@ -211,7 +211,7 @@
     /// Relays of this region that were heard lately, and this one.
     pub(crate) fn relays_in_region(&self) -> usize {
         let peers = self.peers();
-        1 + peers.count_where(|zone| self.is_near(zone))
+        1 + peers.count_recently_heard(|zone| self.is_near(zone))
     }
 
     /// The evacuated availability zones.
@@ -241,7 +241,7 @@
 
     /// Takes over which relays share what backend servers take from all of them, where that has changed.
     pub(crate) fn share_among_entries(&self) {
-        let others = self.peers().take_changed();
+        let others = self.peers().take_changed_peers();
         if let Some(others) = others {
             self.fleet().set_entries(self.settings.peer, others);
         }
--- a/relay/src/zone_probes.rs
+++ b/relay/src/zone_probes.rs
@@ -1,4 +1,5 @@
-//! Probes of the ways to other availability zones. What they say is estimated by `cicada_lib::round_trips`.
+//! Round-trip probes to other availability zones. `cicada_lib::round_trips` estimates the round trips from
+//! their results.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,52 +8,53 @@
 use cicada_lib::ids::Name;
 use cicada_lib::time::Time;
 
-/// Probes that wait for an answer; older ones were lost.
-const WAITING: usize = 64;
+/// Number of pending probes above which those past [`PROBE_TIMEOUT`] are removed as lost.
+const MAX_PENDING: usize = 64;
 
-/// An answer that comes later says that its peer was busy.
-const LATEST: Duration = Duration::from_secs(2);
+/// Replies that take longer are ignored: they show that the peer was busy, not how far away it is.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The probes that are not answered yet.
+/// The pending probes.
 #[derive(Debug, Default)]
 pub(crate) struct ZoneProbes {
-    last: u32,
-    waiting: HashMap<u32, Probe>,
+    last_sequence: u32,
+    pending: HashMap<u32, PendingProbe>,
 }
 
 #[derive(Debug)]
-struct Probe {
-    sent: Time,
+struct PendingProbe {
+    sent_at: Time,
     peer: SocketAddr,
     zone: Name,
 }
 
 impl ZoneProbes {
-    /// A probe of a peer in a zone is about to be sent; its number.
-    pub(crate) fn send(&mut self, now: Time, peer: SocketAddr, zone: Name) -> u32 {
-        if self.waiting.len() >= WAITING {
-            self.waiting
-                .retain(|_, probe| now.since(probe.sent) < LATEST);
+    /// Records a probe to a peer in a zone and returns the sequence number to send.
+    pub(crate) fn start(&mut self, now: Time, peer: SocketAddr, zone: Name) -> u32 {
+        if self.pending.len() >= MAX_PENDING {
+            self.pending
+                .retain(|_, probe| now.since(probe.sent_at) < PROBE_TIMEOUT);
         }
-        self.last = self.last.wrapping_add(1);
-        let probe = Probe {
-            sent: now,
+        self.last_sequence = self.last_sequence.wrapping_add(1);
+        let probe = PendingProbe {
+            sent_at: now,
             peer,
             zone,
         };
-        self.waiting.insert(self.last, probe);
-        self.last
+        self.pending.insert(self.last_sequence, probe);
+        self.last_sequence
     }
 
-    /// An answer came; the zone, and how long it took, where the peer was asked.
-    pub(crate) fn answered(
+    /// Records a reply and returns the zone and the round-trip time; `None` if no pending probe matches or
+    /// the reply is too late.
+    pub(crate) fn finish(
         &mut self,
         now: Time,
         peer: SocketAddr,
-        number: u32,
+        sequence: u32,
     ) -> Option<(Name, Duration)> {
-        let probe = self.waiting.remove(&number)?;
-        let took = now.since(probe.sent);
-        (probe.peer == peer && took < LATEST).then_some((probe.zone, took))
+        let probe = self.pending.remove(&sequence)?;
+        let round_trip = now.since(probe.sent_at);
+        (probe.peer == peer && round_trip < PROBE_TIMEOUT).then_some((probe.zone, round_trip))
     }
 }
