--- a/daemon/src/relay_role.rs
+++ b/daemon/src/relay_role.rs
@@ -12,10 +12,10 @@
 use cicada_platform::PlatformDialect;
 use cicada_platform::StoreDirectory;
 use cicada_relay::Changing;
-use cicada_relay::Figures;
 use cicada_relay::Keeper;
 use cicada_relay::Policy;
 use cicada_relay::Relay;
+use cicada_relay::RelayMetrics;
 use cicada_relay::RelaySettings;
 use cicada_relay::Restrictions;
 use eyre::Context;
@@ -35,12 +35,12 @@
 /// Runs until the process has drained.
 pub(crate) fn run(settings: Settings, file: &Path, traffic: &Runtime) -> eyre::Result<()> {
     let metrics = Metrics::new();
-    let figures = Figures::new(metrics.registry())?;
+    let relay_metrics = RelayMetrics::new(metrics.registry())?;
     let relay = Relay::new(
         relay_settings(&settings)?,
         Arc::new(PlatformDialect::new()),
         Arc::new(HttpEngines::new()),
-        figures,
+        relay_metrics,
     );
     let directory = settings
         .address("platform", "address")
--- a/relay/src/attempts.rs
+++ b/relay/src/attempts.rs
@@ -180,7 +180,7 @@
             (true, true) => "failed",
             (true, false) => "refused",
         };
-        relay.figures().retry(reason);
+        relay.metrics().count_retry(reason);
         taken
     }
 }
--- a/relay/src/caller_server.rs
+++ b/relay/src/caller_server.rs
@@ -143,7 +143,7 @@
                 let still = progress.due(limits.header_timeout, limits.idle_timeout);
                 match still {
                     Some((at, Overdue::Head)) if at <= now => {
-                        relay.figures().overdue("head");
+                        relay.metrics().count_overdue("head");
                         return;
                     }
                     Some((at, _)) if at <= now && !closing => {
--- a/relay/src/choice.rs
+++ b/relay/src/choice.rs
@@ -92,7 +92,9 @@
 ) -> Vec<ServerKey> {
     let (asks, trip) = questions(relay, id, need, servers);
     let answered = relay.load_probes().probe(asks, trip).await;
-    relay.figures().asked(servers.len(), answered.len());
+    relay
+        .metrics()
+        .count_load_probes(servers.len(), answered.len());
     let fleet = relay.fleet();
     let keys = answered.iter().filter_map(|engine| fleet.key_at(*engine));
     keys.collect()
--- a/relay/src/exchange.rs
+++ b/relay/src/exchange.rs
@@ -139,7 +139,7 @@
     progress: Arc<Progress>,
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Infallible> {
-    let open = OpenAnswer::new(progress, relay.figures().open().clone());
+    let open = OpenAnswer::new(progress, relay.metrics().open_requests().clone());
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
     let mut response = match read(&relay, request).await {
         Ok(call) => answer(&relay, call).await,
@@ -156,7 +156,7 @@
 
 async fn answer(relay: &Arc<Relay>, call: Call) -> Response<AnswerBody> {
     if relay.grace_left().is_some_and(|left| left < LAST_CALLS) {
-        relay.figures().refusal("draining");
+        relay.metrics().count_refusal("draining");
         tracing::info!(
             id = call.id(),
             "request: refused, this relay is about to end"
@@ -177,7 +177,7 @@
     relay.wait_until_confirmed().await;
     let table = relay.table();
     if !table.has_config() {
-        relay.figures().refusal("no_config");
+        relay.metrics().count_refusal("no_config");
         return Err(OwnAnswer::NotRun(start_pause()));
     }
     let (parts, body) = request.into_parts();
@@ -237,7 +237,7 @@
             Denied::NoRoute => ("no_route", OwnAnswer::NoRoute),
             Denied::BadKey => ("bad_key", OwnAnswer::BadKey),
         };
-        relay.figures().refusal(reason);
+        relay.metrics().count_refusal(reason);
         tracing::info!(
             id,
             reason,
--- a/relay/src/plain.rs
+++ b/relay/src/plain.rs
@@ -100,8 +100,10 @@
                     left_out = placed.basis.left_out.map(tracing::field::display),
                     "request: answered"
                 );
-                relay.figures().answer("whole");
-                relay.figures().first(call.arrived.elapsed());
+                relay.metrics().count_answer("whole");
+                relay
+                    .metrics()
+                    .observe_first_response(call.arrived.elapsed());
                 return whole.response();
             }
             Ok(whole) => {
@@ -115,7 +117,7 @@
         }
     }
     if let Some(whole) = failure {
-        relay.figures().answer("failed_by_server");
+        relay.metrics().count_answer("failed_by_server");
         return whole.response();
     }
     let pause = match attempts.turned_away() {
@@ -149,7 +151,7 @@
         placed.went_well();
     }
     if word != "ok" {
-        relay.figures().retry(word);
+        relay.metrics().count_retry(word);
         let waited = call.arrived.elapsed().as_millis() as u64;
         let server = placed.record.id.as_str();
         tracing::info!(
--- a/relay/src/relay.rs
+++ b/relay/src/relay.rs
@@ -36,13 +36,13 @@
 use tokio::time::Instant;
 
 use crate::caller_server;
-use crate::figures::Figures;
 use crate::load_asks::LoadProbes;
 use crate::lock::lock;
 use crate::moved_runs::MovedRuns;
 use crate::peer_net::PeerNet;
 use crate::peer_pull;
 use crate::peers::Peers;
+use crate::relay_metrics::RelayMetrics;
 use crate::relay_settings::Changing;
 use crate::relay_settings::Policy;
 use crate::relay_settings::RelaySettings;
@@ -84,7 +84,7 @@
     pub(crate) changing: ArcSwap<Changing>,
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) engines: Arc<dyn EngineCalls>,
-    pub(crate) figures: Figures,
+    pub(crate) metrics: RelayMetrics,
     pub(crate) clock: Clock,
     pub(crate) freeze_detector: Mutex<FreezeDetector>,
     pub(crate) table: ArcSwap<RouteTable>,
@@ -131,7 +131,7 @@
         settings: RelaySettings,
         dialect: Arc<dyn Dialect>,
         engines: Arc<dyn EngineCalls>,
-        figures: Figures,
+        metrics: RelayMetrics,
     ) -> Arc<Self> {
         let (sent, sent_out) = mpsc::channel(WAITING_WORDS);
         let (ended, ended_out) = mpsc::channel(WAITING_WORDS);
@@ -157,7 +157,7 @@
             settings,
             dialect,
             engines,
-            figures,
+            metrics,
             clock,
             freeze_detector: Mutex::new(FreezeDetector::new(clock.now())),
             table: ArcSwap::default(),
@@ -277,8 +277,8 @@
         &self.engines
     }
 
-    pub(crate) fn figures(&self) -> &Figures {
-        &self.figures
+    pub(crate) fn metrics(&self) -> &RelayMetrics {
+        &self.metrics
     }
 
     pub(crate) fn now(&self) -> Time {
@@ -324,7 +324,7 @@
     }
 
     pub(crate) fn open_requests(&self) -> i64 {
-        self.figures.open().get()
+        self.metrics.open_requests().get()
     }
 
     pub(crate) fn set_ending(&self) {
--- a/relay/src/relay_limits.rs
+++ b/relay/src/relay_limits.rs
@@ -56,7 +56,8 @@
     }
 
     fn note_limit(&self, server: &Name, change: LimitChange, from: Option<SocketAddr>) {
-        self.figures().limited(self.fleet().limited_server_count());
+        self.metrics()
+            .set_limited_servers(self.fleet().limited_server_count());
         let from = from.map(tracing::field::display);
         match change {
             LimitChange::Named(rate) | LimitChange::Changed(rate) => {
--- /dev/null
+++ b/relay/src/relay_metrics.rs
@@ -0,0 +1,149 @@
+//! Prometheus metrics of a relay.
+
+use std::time::Duration;
+
+use prometheus::Histogram;
+use prometheus::HistogramOpts;
+use prometheus::IntCounterVec;
+use prometheus::IntGauge;
+use prometheus::Opts;
+use prometheus::Registry;
+
+/// The metrics of a relay. Each counter has one label: the outcome, the reason or a similar category.
+#[derive(Clone, Debug)]
+pub struct RelayMetrics {
+    answers: IntCounterVec,
+    refusals: IntCounterVec,
+    retries: IntCounterVec,
+    moves: IntCounterVec,
+    overdue: IntCounterVec,
+    load_probes: IntCounterVec,
+    first_events: IntCounterVec,
+    open_requests: IntGauge,
+    limited_servers: IntGauge,
+    first_response_time: Histogram,
+    move_gap: Histogram,
+}
+
+// Histogram buckets in seconds, from one decoding step of an engine to far beyond what callers wait.
+const BUCKETS: &[f64] = &[
+    0.005, 0.01, 0.02, 0.05, 0.1, 0.18, 0.3, 0.5, 1.0, 1.8, 3.0, 6.0, 12.0, 40.0,
+];
+
+/// Time that a first event may take in addition to prefill: network latency and the decoding steps of running
+/// requests.
+const FIRST_EVENT_SLACK: Duration = Duration::from_millis(200);
+
+impl RelayMetrics {
+    /// Creates and registers the metrics.
+    pub fn new(registry: &Registry) -> prometheus::Result<Self> {
+        let metrics = RelayMetrics {
+            answers: counter("relay_answers_total", "Answers by outcome", "outcome")?,
+            refusals: counter("relay_refusals_total", "Own refusals by reason", "reason")?,
+            retries: counter("relay_retries_total", "Further sends by reason", "reason")?,
+            moves: counter("relay_moves_total", "Moves of runs by outcome", "outcome")?,
+            overdue: counter(
+                "relay_overdue_total",
+                "Connections closed as overdue",
+                "what",
+            )?,
+            load_probes: counter(
+                "relay_load_asks_total",
+                "Questions to scouts before a choice, by how many of those asked answered",
+                "answered",
+            )?,
+            first_events: counter(
+                "relay_starts_total",
+                "First events, by what the engine was taken to have to read",
+                "came",
+            )?,
+            open_requests: IntGauge::new("relay_open_requests", "Requests that are open")?,
+            limited_servers: IntGauge::new(
+                "relay_limited_servers",
+                "Backend servers that name a limit in their answers",
+            )?,
+            first_response_time: histogram(
+                "relay_first_seconds",
+                "Time to the first event or the answer",
+            )?,
+            move_gap: histogram("relay_move_gap_seconds", "Pause of a stream by a move")?,
+        };
+        registry.register(Box::new(metrics.answers.clone()))?;
+        registry.register(Box::new(metrics.refusals.clone()))?;
+        registry.register(Box::new(metrics.retries.clone()))?;
+        registry.register(Box::new(metrics.moves.clone()))?;
+        registry.register(Box::new(metrics.overdue.clone()))?;
+        registry.register(Box::new(metrics.load_probes.clone()))?;
+        registry.register(Box::new(metrics.first_events.clone()))?;
+        registry.register(Box::new(metrics.open_requests.clone()))?;
+        registry.register(Box::new(metrics.limited_servers.clone()))?;
+        registry.register(Box::new(metrics.first_response_time.clone()))?;
+        registry.register(Box::new(metrics.move_gap.clone()))?;
+        Ok(metrics)
+    }
+
+    pub(crate) fn count_answer(&self, outcome: &str) {
+        self.answers.with_label_values(&[outcome]).inc();
+    }
+
+    pub(crate) fn count_refusal(&self, reason: &str) {
+        self.refusals.with_label_values(&[reason]).inc();
+    }
+
+    pub(crate) fn count_retry(&self, reason: &str) {
+        self.retries.with_label_values(&[reason]).inc();
+    }
+
+    pub(crate) fn count_move(&self, outcome: &str) {
+        self.moves.with_label_values(&[outcome]).inc();
+    }
+
+    pub(crate) fn count_overdue(&self, what: &str) {
+        self.overdue.with_label_values(&[what]).inc();
+    }
+
+    /// Counts a round of load probes by whether none, some or all of the `sent` probes were answered in time.
+    pub(crate) fn count_load_probes(&self, sent: usize, answered: usize) {
+        let label = match answered {
+            0 => "none",
+            answered if answered < sent => "some",
+            _ => "all",
+        };
+        self.load_probes.with_label_values(&[label]).inc();
+    }
+
+    /// Counts a first event by whether it took much longer than the `expected` time for prefill.
+    pub(crate) fn count_first_event(&self, expected: Duration, took: Duration) {
+        let label = match took > expected * 2 + FIRST_EVENT_SLACK {
+            true => "much_later",
+            false => "as_expected",
+        };
+        self.first_events.with_label_values(&[label]).inc();
+    }
+
+    pub(crate) fn observe_first_response(&self, time: Duration) {
+        self.first_response_time.observe(time.as_secs_f64());
+    }
+
+    pub(crate) fn observe_move_gap(&self, time: Duration) {
+        self.move_gap.observe(time.as_secs_f64());
+    }
+
+    /// Sets the number of backend servers that announce a limit.
+    pub(crate) fn set_limited_servers(&self, servers: usize) {
+        self.limited_servers.set(servers as i64);
+    }
+
+    /// The gauge of open requests.
+    pub fn open_requests(&self) -> &IntGauge {
+        &self.open_requests
+    }
+}
+
+fn counter(name: &str, help: &str, label: &str) -> prometheus::Result<IntCounterVec> {
+    IntCounterVec::new(Opts::new(name, help), &[label])
+}
+
+fn histogram(name: &str, help: &str) -> prometheus::Result<Histogram> {
+    Histogram::with_opts(HistogramOpts::new(name, help).buckets(BUCKETS.to_vec()))
+}
--- a/relay/src/run_moves.rs
+++ b/relay/src/run_moves.rs
@@ -121,14 +121,14 @@
             }
             (MoveStep::Stop, Err(MoveError::NoRoom(Some(handle)))) => {
                 tracing::info!(id, from, to, "move: no room, the run goes on where it was");
-                self.relay.figures().moved("no_room");
+                self.relay.metrics().count_move("no_room");
                 self.failed_moves += 1;
                 self.read_tail().await;
                 self.go_back(&handle).await
             }
             (_, Err(error)) => {
                 tracing::info!(id, from, to, ?step, %error, "move: a step failed");
-                self.relay.figures().moved("failed");
+                self.relay.metrics().count_move("failed");
                 self.failed_moves += 1;
                 true
             }
@@ -159,21 +159,21 @@
         let begin = self.memory(from, handle);
         match send_on(&self.relay, &self.call, &target, begin).await {
             Ok(answered) => {
-                self.relay.figures().moved("done");
+                self.relay.metrics().count_move("done");
                 self.refusing = None;
                 self.placed = target;
                 self.go_on(before, answered);
                 true
             }
             Err(Unanswered::Refused | Unanswered::Unreached | Unanswered::Elsewhere) => {
-                self.relay.figures().moved("refused");
+                self.relay.metrics().count_move("refused");
                 self.failed_moves += 1;
                 tracing::info!(id = self.call.id(), target = %target.record.address, "move: the target did not take the run");
                 self.refusing = Some(target.key);
                 self.go_back(handle).await
             }
             Err(Unanswered::Unknown | Unanswered::Silent | Unanswered::TimeOver) => {
-                self.relay.figures().moved("lost");
+                self.relay.metrics().count_move("lost");
                 false
             }
         }
@@ -210,7 +210,7 @@
         // Counted against the service's bound like any other further send, but never held back: the
         // run would be lost, and its caller would send the whole again.
         if !self.relay.take_retry(&self.call.service, 0.0) {
-            self.relay.figures().retry("move_over_bound");
+            self.relay.metrics().count_retry("move_over_bound");
         }
         Begin::Moved {
             memory: RunMemory {
--- a/relay/src/send.rs
+++ b/relay/src/send.rs
@@ -133,10 +133,10 @@
         (true, true) => ("time_over", OwnAnswer::TimeOver),
         (true, false) => ("unknown", OwnAnswer::Failed),
     };
-    relay.figures().answer(outcome);
+    relay.metrics().count_answer(outcome);
     let lacking = attempts.lacking().map(NoServer::as_str);
     if let ("not_run", Some(why)) = (outcome, lacking) {
-        relay.figures().refusal(why);
+        relay.metrics().count_refusal(why);
     }
     let kind = match call.admitted.route.kind {
         CallKind::Streaming => "stream",
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -61,7 +61,7 @@
         .grace_left()
         .filter(|left| outlasts(relay, &call, *left))
     {
-        relay.figures().refusal("draining");
+        relay.metrics().count_refusal("draining");
         tracing::info!(
             id = call.id(),
             ?left,
@@ -124,7 +124,7 @@
         }
     }
     if let Some(response) = failure {
-        relay.figures().answer("failed_by_server");
+        relay.metrics().count_answer("failed_by_server");
         return response;
     }
     let why = match (attempts.refused(), attempts.turned_away()) {
@@ -168,8 +168,8 @@
         .record(now, call.fingerprint(), asking.age, pause);
     let (why, expected_load) = (turned.bottleneck.name(), &turned.expected_load);
     let (_, age) = relay.fleet().memory_use(relay.now(), turned.server);
-    relay.figures().refusal(why);
-    relay.figures().answer("not_run");
+    relay.metrics().count_refusal(why);
+    relay.metrics().count_answer("not_run");
     tracing::info!(
         id = call.id(),
         why,
--- a/relay/src/stream_run.rs
+++ b/relay/src/stream_run.rs
@@ -140,7 +140,7 @@
             Ending::TimeOver => "time_over",
             Ending::Lost => "lost",
         };
-        self.relay.figures().answer(word);
+        self.relay.metrics().count_answer(word);
         let events = self.events.count();
         let waited = self.call.arrived.elapsed().as_millis() as u64;
         let server = self.placed.record.id.as_str();
@@ -244,15 +244,15 @@
             self.placed.began();
             self.first = now;
             let took = self.call.arrived.elapsed();
-            self.relay.figures().first(took);
+            self.relay.metrics().observe_first_response(took);
             let expected = self.placed.basis.reading;
-            self.relay.figures().start(expected, took);
+            self.relay.metrics().count_first_event(expected, took);
         } else {
             self.longest = self.longest.max(pause);
         }
         if let Some(before) = self.resumed.take() {
             let gap = before.elapsed();
-            self.relay.figures().gap(gap);
+            self.relay.metrics().observe_move_gap(gap);
             let gap = gap.as_millis() as u64;
             tracing::info!(id = self.call.id(), gap, server = %self.placed.record.id, "move: went on");
         }
