--- a/daemon/src/relay_role.rs
+++ b/daemon/src/relay_role.rs
@@ -12,7 +12,7 @@
 use cicada_platform::PlatformDialect;
 use cicada_platform::StoreDirectory;
 use cicada_relay::Changing;
-use cicada_relay::Keeper;
+use cicada_relay::DirectoryWatcher;
 use cicada_relay::Policy;
 use cicada_relay::Relay;
 use cicada_relay::RelayMetrics;
@@ -46,7 +46,7 @@
         .address("platform", "address")
         .ok_or_eyre("[platform] address is missing")?;
     let directory = Arc::new(StoreDirectory::new(directory));
-    start_control(Keeper::new(relay.clone(), directory))?;
+    start_control(DirectoryWatcher::new(relay.clone(), directory))?;
     let status = settings
         .address("process", "status")
         .ok_or_eyre("[process] status is missing")?;
@@ -84,14 +84,14 @@
 }
 
 /// One thread for what is known of the deployment, beside those of the traffic.
-fn start_control(keeper: Keeper) -> eyre::Result<()> {
+fn start_control(directory_watcher: DirectoryWatcher) -> eyre::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .wrap_err("process: the control runtime could not be started")?;
     std::thread::Builder::new()
         .name("control".into())
-        .spawn(move || runtime.block_on(keeper.run()))
+        .spawn(move || runtime.block_on(directory_watcher.run()))
         .wrap_err("process: the control thread could not be started")?;
     Ok(())
 }
--- a/relay/src/word_socket.rs
+++ b/relay/src/datagram_socket.rs
@@ -10,15 +10,15 @@
 
 /// A UDP socket for encoded datagrams. All processes of a deployment use the same port.
 #[derive(Debug)]
-pub(crate) struct WordSocket {
+pub(crate) struct DatagramSocket {
     socket: UdpSocket,
     port: u16,
 }
 
-impl WordSocket {
+impl DatagramSocket {
     /// Binds a socket to `address`.
     pub(crate) async fn bind(address: SocketAddr) -> io::Result<Self> {
-        Ok(WordSocket {
+        Ok(DatagramSocket {
             socket: UdpSocket::bind(address).await?,
             port: address.port(),
         })
--- a/relay/src/keeper.rs
+++ b/relay/src/directory_watcher.rs
@@ -64,7 +64,7 @@
 const PEERS_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Applies the directory's state to a relay and watches the directory for changes.
-pub struct Keeper {
+pub struct DirectoryWatcher {
     pub(crate) relay: Arc<Relay>,
     pub(crate) directory: Arc<dyn Directory>,
 }
@@ -98,10 +98,10 @@
     }
 }
 
-impl Keeper {
+impl DirectoryWatcher {
     /// Creates a watcher that updates `relay`.
     pub fn new(relay: Arc<Relay>, directory: Arc<dyn Directory>) -> Self {
-        Keeper { relay, directory }
+        DirectoryWatcher { relay, directory }
     }
 
     /// Watches the directory until the process ends.
--- a/relay/src/keeper_evacuations.rs
+++ b/relay/src/evacuation_watcher.rs
@@ -6,8 +6,8 @@
 use cicada_lib::zone_evacuation::EvacuatedZones;
 use tokio::time::Instant;
 
-use crate::keeper::CallBackoff;
-use crate::keeper::Keeper;
+use crate::directory_watcher::CallBackoff;
+use crate::directory_watcher::DirectoryWatcher;
 
 /// How long a watch on evacuations waits for a change. A watch on a dead connection is abandoned after this
 /// and the timeout of the call, together less than the time within which an evacuation must take effect.
@@ -34,7 +34,7 @@
     }
 }
 
-impl Keeper {
+impl DirectoryWatcher {
     pub(crate) async fn watch_evacuations(&self) {
         let mut backoff = CallBackoff::new();
         let mut view = EvacuationView::default();
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -6,17 +6,18 @@
 
 mod answer;
 mod attempts;
-mod awake;
 mod caller_io;
 mod caller_server;
 mod choice;
+mod datagram_socket;
+mod directory_watcher;
 mod drain;
-mod engine_words;
+mod engine_reports;
+mod evacuation_watcher;
 mod events;
 mod exchange;
+mod freeze_recovery;
 mod identity;
-mod keeper;
-mod keeper_evacuations;
 mod load_asks;
 mod lock;
 mod moved_runs;
@@ -39,11 +40,10 @@
 mod stream;
 mod stream_run;
 mod upstream;
-mod word_socket;
 mod zone_probes;
 
+pub use directory_watcher::DirectoryWatcher;
 pub use drain::drain;
-pub use keeper::Keeper;
 pub use relay::Relay;
 pub use relay::Restrictions;
 pub use relay_metrics::RelayMetrics;
--- a/relay/src/peer_net.rs
+++ b/relay/src/peer_net.rs
@@ -16,12 +16,12 @@
 use tokio::time::MissedTickBehavior;
 use tokio::time::interval;
 
+use crate::datagram_socket::DatagramSocket;
 use crate::moved_runs::MoveAsk;
 use crate::relay::Pending;
 use crate::relay::Relay;
 use crate::relay::Sent;
 use crate::relay_view::EngineGroup;
-use crate::word_socket::WordSocket;
 use crate::zone_probes::ZoneProbes;
 
 /// Interval at which subscriptions are renewed. Scouts keep a subscription for several intervals, so lost
@@ -59,7 +59,7 @@
 /// Sends and receives a relay's datagrams.
 pub(crate) struct PeerNet {
     relay: Arc<Relay>,
-    socket: WordSocket,
+    socket: DatagramSocket,
     probes: ZoneProbes,
 }
 
@@ -68,7 +68,7 @@
     pub(crate) async fn bind(relay: Arc<Relay>, peer: SocketAddr) -> std::io::Result<Self> {
         Ok(PeerNet {
             relay,
-            socket: WordSocket::bind(peer).await?,
+            socket: DatagramSocket::bind(peer).await?,
             probes: ZoneProbes::default(),
         })
     }
--- a/relay/src/scout.rs
+++ b/relay/src/scout.rs
@@ -35,11 +35,11 @@
 use tokio::time::interval;
 use tokio::time::sleep;
 
+use crate::datagram_socket::DatagramSocket;
 use crate::identity::IdentityTracker;
 use crate::run_mover;
 use crate::run_mover::Neighbours;
 use crate::run_mover::RunNews;
-use crate::word_socket::WordSocket;
 
 /// Interval between polls of the engine. An engine announces that it leaves 1.5 s ahead, of which the poll
 /// delay takes at most a fiftieth. Short intervals also let relays that place requests at the same time see
@@ -77,7 +77,7 @@
     // The engine on this host.
     pub(crate) engine: EngineHere,
     pub(crate) seeds: Vec<SocketAddr>,
-    pub(crate) socket: Arc<WordSocket>,
+    pub(crate) socket: Arc<DatagramSocket>,
     // Relays and neighbours' scouts that handle_subscription to reports, with the time of their last subscription.
     pub(crate) subscribers: HashMap<SocketAddr, Instant>,
     // When relays last named each engine of the same service and region.
@@ -124,7 +124,7 @@
             engine_calls,
             engine,
             seeds,
-            socket: Arc::new(WordSocket::bind(peer).await?),
+            socket: Arc::new(DatagramSocket::bind(peer).await?),
             subscribers: HashMap::new(),
             neighbour_named_at: HashMap::new(),
             neighbours: Arc::new(Neighbours::default()),
