--- a/relay/src/attempts.rs
+++ b/relay/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Where one request has been sent, and whether it may be sent once more.
+//! Tracks the sends of one request, and decides whether it may be retried.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,42 +17,45 @@
 use crate::relay::Relay;
 use crate::send::Unanswered;
 
-/// Servers that are chosen for one request at most: each that cannot be reached costs its caller time.
-const MOST_SERVERS: usize = 4;
+/// Maximum number of servers chosen for one request, since each unreachable one costs the caller time.
+const MAX_SERVERS_CHOSEN: usize = 4;
 
-/// Why a send did not bring what the caller asked for.
+/// Why a send failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Setback {
-    /// No answer came.
+    /// The server refused the request or gave no answer.
     Unanswered(Unanswered),
-    /// The server ran the request and failed by itself.
+    /// The server ran the request and answered with a failure.
     Failed,
 }
 
 /// The sends of one request.
 pub(crate) struct Attempts {
-    // The part of the service's further sends that is left for others.
-    spare: f64,
-    // Servers that are not asked again.
+    // Share of the service's retry limit that this request leaves to other retries, from 0 to 1.
+    reserved: f64,
+    // Servers that refused the request or gave no answer; never chosen again.
     tried: Vec<ServerKey>,
-    // Servers that ran the request and failed: asked again only where there is no other.
+    // Servers that ran the request and failed; chosen again only if there is no other.
     failed: Vec<ServerKey>,
     chosen: usize,
-    // Servers to which it was sent.
+    // Sends that reached a server.
     sent: u32,
+    // Whether a server may have run the request.
     ran: bool,
+    // Whether a server stated that it did not run the request.
     refused: bool,
     // Why the last choice found no server.
     lacking: Option<NoServer>,
-    // When one may be sent to a server that only its limit kept from the last choice.
-    unlimited: Option<Duration>,
+    // Wait until a server has room that the last choice excluded only because of its limit.
+    limit_wait: Option<Duration>,
 }
 
 impl Attempts {
-    /// None yet. Of the service's further sends the part `spare`, 0 to 1, is left for others.
-    pub(crate) fn new(spare: f64) -> Self {
+    /// Creates a record without sends. `reserved`, from 0 to 1, is the share of the service's retry limit to leave to
+    /// other retries.
+    pub(crate) fn new(reserved: f64) -> Self {
         Attempts {
-            spare,
+            reserved,
             tried: Vec::new(),
             failed: Vec::new(),
             chosen: 0,
@@ -60,7 +63,7 @@
             ran: false,
             refused: false,
             lacking: None,
-            unlimited: None,
+            limit_wait: None,
         }
     }
 
@@ -69,35 +72,35 @@
         self.ran
     }
 
-    /// Whether a server stated that it turned the request away.
+    /// Whether a server stated that it did not run the request.
     pub(crate) fn refused(&self) -> bool {
         self.refused
     }
 
-    /// Why there was no server for the request, where none was found and none has turned it away.
+    /// Why no server was found, unless a server refused the request.
     pub(crate) fn lacking(&self) -> Option<NoServer> {
         self.lacking.filter(|_| !self.refused)
     }
 
-    /// Why the caller is turned away, where servers are there that may not have the request.
+    /// Why the request is rejected, if servers exist but none of them is permitted to take it.
     pub(crate) fn turned_away(&self) -> Option<RejectionCause> {
         let NoServer::Excluded(why) = self.lacking()? else {
             return None;
         };
         match why {
             Exclusion::Evacuated | Exclusion::Region => Some(RejectionCause::NotAllowed),
-            Exclusion::Limited => self.unlimited.map(RejectionCause::Limited),
+            Exclusion::Limited => self.limit_wait.map(RejectionCause::Limited),
             Exclusion::Cold => None,
         }
     }
 
-    /// Servers to which it was sent.
+    /// Number of sends that reached a server.
     pub(crate) fn sent(&self) -> u32 {
         self.sent
     }
 
-    /// A place at the next server, for a request that is expected to hold `tokens` at its end, and that
-    /// may be `asking` whether it is taken in.
+    /// Chooses the next server for a request that is expected to hold `tokens` when it ends. `asking` is given if the
+    /// request is subject to admission control.
     pub(crate) async fn place(
         &mut self,
         relay: &Arc<Relay>,
@@ -105,11 +108,11 @@
         tokens: u64,
         asking: Option<&AdmissionRequest>,
     ) -> Result<Placed, AdmissionError> {
-        if self.chosen >= MOST_SERVERS || call.left().is_zero() {
+        if self.chosen >= MAX_SERVERS_CHOSEN || call.left().is_zero() {
             return Err(AdmissionError::NoServer(NoServer::None));
         }
         self.chosen += 1;
-        let others: Vec<ServerKey> = self.tried.iter().chain(&self.failed).copied().collect();
+        let avoided: Vec<ServerKey> = self.tried.iter().chain(&self.failed).copied().collect();
         let regions = relay.table().regions_now(&call.admitted);
         let prompt = u64::from(call.head.prompt);
         let need = |tried| PlacementRequest {
@@ -118,30 +121,32 @@
             ..PlacementRequest::new(&call.service, prompt, tokens)
         };
         let id = call.head.id.as_ref();
-        let placed = match choice::place(relay, id, &need(&others), &call.spec, asking).await {
+        let result = match choice::place(relay, id, &need(&avoided), &call.spec, asking).await {
             Err(AdmissionError::NoServer(_)) => {
                 choice::place(relay, id, &need(&self.tried), &call.spec, asking).await
             }
-            placed => placed,
+            result => result,
         };
-        if let Err(AdmissionError::NoServer(why)) = &placed {
+        if let Err(AdmissionError::NoServer(why)) = &result {
             self.lacking = Some(*why);
-            self.unlimited = relay.shortest_limit_wait(&need(&self.tried), &call.spec);
+            self.limit_wait = relay.shortest_limit_wait(&need(&self.tried), &call.spec);
         }
-        let placed = placed?;
+        let placed = result?;
         if tokens > 0 {
             relay.tell_sent(&placed, id);
         }
         Ok(placed)
     }
 
-    /// Whether a request that may have run can be sent to one more server. Takes nothing.
+    /// Whether a request that may have run can be sent to one more server. Takes no retry from the service's limit.
     pub(crate) fn may_repeat(&self, call: &Call) -> bool {
-        let more = self.sent + 1 < call.admitted.route.max_attempts && self.chosen < MOST_SERVERS;
-        call.is_repeatable() && more
+        let attempts_left =
+            self.sent + 1 < call.admitted.route.max_attempts && self.chosen < MAX_SERVERS_CHOSEN;
+        call.is_repeatable() && attempts_left
     }
 
-    /// Takes in how a send ended; whether the request may be sent once more.
+    /// Records a failed send and returns whether the request may be sent once more. If it takes a retry for that, the
+    /// service's retry limit must allow it.
     pub(crate) fn goes_on(
         &mut self,
         relay: &Relay,
@@ -155,8 +160,8 @@
         }
         match setback {
             Setback::Unanswered(Unanswered::Unreached) => return true,
-            // The server that was meant has ended: it does not count as one that was sent to. But the
-            // request has arrived at the service once more.
+            // The intended server is gone, so the send does not count as an attempt. It does take a
+            // retry, since the request has arrived at the service once more.
             Setback::Unanswered(Unanswered::Elsewhere) => return self.take_retry(relay, call),
             Setback::Unanswered(Unanswered::Refused) => self.refused = true,
             Setback::Unanswered(Unanswered::TimeOver) => {
@@ -168,13 +173,13 @@
             }
         }
         self.sent += 1;
-        let may = call.is_repeatable() || !self.ran;
-        may && self.sent < call.admitted.route.max_attempts && self.take_retry(relay, call)
+        let repeatable = call.is_repeatable() || !self.ran;
+        repeatable && self.sent < call.admitted.route.max_attempts && self.take_retry(relay, call)
     }
 
-    /// Takes one of the service's further sends.
+    /// Takes one retry if the service's limit allows it, and counts the outcome.
     fn take_retry(&self, relay: &Relay, call: &Call) -> bool {
-        let taken = relay.take_retry(&call.service, self.spare);
+        let taken = relay.take_retry(&call.service, self.reserved);
         let reason = match (taken, self.ran) {
             (false, _) => "over_bound",
             (true, true) => "failed",
--- a/relay/src/choice.rs
+++ b/relay/src/choice.rs
@@ -1,5 +1,5 @@
-//! The engine of a stream: chosen by the reports that are there or, where these come too seldom, after asking
-//! a few scouts. Which ones is decided by `cicada_lib::placement`.
+//! Places requests on engines, by the load reports at hand or, if these arrive too seldom, by probing a few scouts
+//! first. `cicada_lib::placement` decides which scouts are probed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 use crate::placed::Placed;
 use crate::relay::Relay;
 
-/// Places a request. Of the engines that were asked only those are judged whose scouts answered; where none
-/// did, all of them by the reports that are there.
+/// Places a request. Only the probed engines whose scouts answered are candidates; if no scout answered, all probed
+/// engines are, judged by the reports at hand.
 pub(crate) async fn place(
     relay: &Arc<Relay>,
     id: Option<&Name>,
@@ -27,20 +27,20 @@
     spec: &ServiceSpec,
     asking: Option<&AdmissionRequest>,
 ) -> Result<Placed, AdmissionError> {
-    let Some(id) = id.filter(|_| probes_for(relay, need)) else {
+    let Some(id) = id.filter(|_| should_probe(relay, need)) else {
         return relay.place(need, spec, asking);
     };
     let mut tried = need.tried.to_vec();
-    let mut turned = None;
+    let mut rejection = None;
     for round in [ProbeRound::First, ProbeRound::Second] {
         let next = PlacementRequest {
             tried: &tried,
             ..need.clone()
         };
-        let asked = targets(relay, &next, spec, round);
-        let answered = ask(relay, id, &next, &asked).await;
+        let probed = probe_targets(relay, &next, spec, round);
+        let answered = probe(relay, id, &next, &probed).await;
         let among = match answered.is_empty() {
-            true => &asked,
+            true => &probed,
             false => &answered,
         };
         let next = PlacementRequest {
@@ -49,31 +49,31 @@
             ..need.clone()
         };
         match relay.place(&next, spec, asking) {
-            Ok(placed) => return Ok(placed.with_asked(asked.len(), answered.len())),
-            Err(AdmissionError::Rejected(crowded)) => {
-                turned.get_or_insert(crowded);
+            Ok(placed) => return Ok(placed.with_asked(probed.len(), answered.len())),
+            Err(AdmissionError::Rejected(rejected)) => {
+                rejection.get_or_insert(rejected);
             }
             Err(AdmissionError::NoServer(_)) => {}
         }
-        // A scout that has just begun has not looked at its engine yet, and answers the next time.
+        // Scouts that did not answer stay eligible: one that has just started answers once it has polled its engine.
         tried.extend(answered);
     }
-    match turned {
-        Some(crowded) => Err(AdmissionError::Rejected(crowded)),
-        // Those that were sampled have all left; the others are still there.
+    match rejection {
+        Some(rejected) => Err(AdmissionError::Rejected(rejected)),
+        // All sampled engines are gone; others may still be there.
         None => relay.place(need, spec, asking),
     }
 }
 
-/// Whether scouts are asked before a request is placed.
-fn probes_for(relay: &Relay, need: &PlacementRequest<'_>) -> bool {
-    let may = relay.policy().ask && need.prompt > 0;
+/// Whether scouts are probed before the request is placed.
+fn should_probe(relay: &Relay, need: &PlacementRequest<'_>) -> bool {
+    let may_probe = relay.policy().ask && need.prompt > 0;
     let fleet = relay.fleet();
-    may && fleet.reports_too_sparse(relay.now(), need.service, need.regions)
+    may_probe && fleet.reports_too_sparse(relay.now(), need.service, need.regions)
 }
 
-/// The servers whose scouts are asked.
-fn targets(
+/// Draws the servers whose scouts are probed.
+fn probe_targets(
     relay: &Relay,
     need: &PlacementRequest<'_>,
     spec: &ServiceSpec,
@@ -83,15 +83,15 @@
     placement::probe_targets(round, &options, &mut fastrand::Rng::new())
 }
 
-/// Asks the scouts of the servers what a request would meet; the servers whose scouts have answered.
-async fn ask(
+/// Probes the scouts of the servers for their load, and returns the servers whose scouts answered in time.
+async fn probe(
     relay: &Relay,
     id: &Name,
     need: &PlacementRequest<'_>,
     servers: &[ServerKey],
 ) -> Vec<ServerKey> {
-    let (asks, trip) = questions(relay, id, need, servers);
-    let answered = relay.load_probes().probe(asks, trip).await;
+    let (asks, max_round_trip) = load_asks(relay, id, need, servers);
+    let answered = relay.load_probes().probe(asks, max_round_trip).await;
     relay
         .metrics()
         .count_load_probes(servers.len(), answered.len());
@@ -100,8 +100,8 @@
     keys.collect()
 }
 
-/// The questions to the scouts of the servers, and the longest round trip to one of them.
-fn questions(
+/// Builds the probes to the scouts of the servers, and returns them with the longest round trip to one of them.
+fn load_asks(
     relay: &Relay,
     id: &Name,
     need: &PlacementRequest<'_>,
@@ -111,8 +111,8 @@
     let fleet = relay.fleet();
     let records = servers.iter().filter_map(|key| fleet.record(*key));
     let records: Vec<&ServerRecord> = records.collect();
-    let trips = records.iter().map(|r| fleet.round_trip(now, &r.zone));
-    let trip = trips.max().unwrap_or_default();
+    let round_trips = records.iter().map(|r| fleet.round_trip(now, &r.zone));
+    let max_round_trip = round_trips.max().unwrap_or_default();
     let asks = records.iter().map(|record| LoadAsk {
         id: id.clone(),
         engine: record.address,
@@ -120,5 +120,5 @@
         tokens: need.tokens,
         asked: records.len() as u32,
     });
-    (asks.collect(), trip)
+    (asks.collect(), max_round_trip)
 }
--- a/relay/src/placed.rs
+++ b/relay/src/placed.rs
@@ -1,4 +1,4 @@
-//! A request's place at a backend server.
+//! A request that is counted at a backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,25 +14,25 @@
 
 use crate::relay::Relay;
 
-/// What a server was chosen by, for the logs.
+/// The figures by which a server was chosen, for the logs.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Basis {
-    // Tokens of its memory that were taken to be in use.
+    // Tokens of the server's memory that counted as in use.
     pub(crate) used: u64,
-    // Milliseconds since the report on which that rests, if it rests on one.
+    // Age in milliseconds of the report behind `used`, if there is one.
     pub(crate) age: Option<u64>,
-    // How long the server was to read at the choice, this request's prompt among it.
+    // Expected time to prefill all prompts that the server has, including this request's.
     pub(crate) reading: Duration,
-    // Servers of this region that were left out, where the chosen one stands in another region.
+    // Servers of the relay's own region that were excluded, if the chosen one is in another region.
     pub(crate) left_out: Option<ExclusionCounts>,
-    // The limit that the chosen server names, in requests a second.
+    // Request rate limit that the chosen server states, in requests per second.
     pub(crate) limit: Option<f64>,
-    // Scouts that were asked, and that answered.
+    // Number of scouts that were probed, and of those that answered.
     pub(crate) asked: usize,
     pub(crate) answered: usize,
 }
 
-/// A request's place at a backend server, counted until it is dropped.
+/// A request that counts towards the load of a backend server until this guard is dropped.
 pub(crate) struct Placed {
     relay: Arc<Relay>,
     pub(crate) key: ServerKey,
@@ -40,11 +40,11 @@
     pub(crate) basis: Basis,
     prompt: u64,
     tokens: u64,
-    begun: bool,
+    started: bool,
 }
 
 impl Placed {
-    /// The place of a request that the fleet has been told of.
+    /// Wraps a request that the fleet already counts at the server.
     pub(crate) fn new(
         relay: &Arc<Relay>,
         key: ServerKey,
@@ -58,19 +58,19 @@
             basis: Basis::default(),
             prompt: need.prompt,
             tokens: need.tokens,
-            begun: false,
+            started: false,
         }
     }
 
-    /// The same place, with what the server was chosen by.
+    /// Adds the figures by which the server was chosen.
     pub(crate) fn with_basis(self, basis: Basis) -> Self {
-        // A guard's fields cannot be moved out of it.
+        // Struct update syntax would move fields out of a type that implements `Drop`.
         let mut placed = self;
         placed.basis = basis;
         placed
     }
 
-    /// The same place, with how many scouts were asked for it and have answered.
+    /// Adds how many scouts were probed and how many answered.
     pub(crate) fn with_asked(self, asked: usize, answered: usize) -> Self {
         let basis = Basis {
             asked,
@@ -80,7 +80,7 @@
         self.with_basis(basis)
     }
 
-    /// What others are told of it.
+    /// The message that announces the request to other processes.
     pub(crate) fn word(&self, id: &Name) -> SentWord {
         SentWord {
             id: id.clone(),
@@ -90,75 +90,77 @@
         }
     }
 
-    /// The first event came.
+    /// Records that the first event arrived, which means that the prompt is prefilled.
     pub(crate) fn began(&mut self) {
-        if !self.begun {
-            self.begun = true;
+        if !self.started {
+            self.started = true;
             self.relay.fleet().record_prefill_end(self.key, self.prompt);
         }
     }
 
-    /// Since when the server is leaving.
+    /// When the server began to leave, if it is leaving.
     pub(crate) fn leaving(&self) -> Option<Time> {
         self.relay.fleet().leaving_since(self.key)
     }
 
-    /// How long the engine takes to read the prompts that it has.
+    /// Expected time until the engine has prefilled the prompts that it has.
     pub(crate) fn reading(&self) -> Duration {
         let now = self.relay.now();
         self.relay.fleet().prefill_backlog(now, self.key)
     }
 
+    /// Records that the server completed the request.
     pub(crate) fn went_well(&self) {
         self.relay.fleet().record_success(self.key);
-        self.tell_ended(true);
+        self.report_outcome(true);
     }
 
-    /// The server failed the request; `hard` where it could not be reached.
+    /// Records that the request failed at the server; `hard` if the server was unreachable.
     pub(crate) fn failed(&self, hard: bool) {
         let now = self.relay.now();
         self.relay.fleet().record_failure(now, self.key, hard);
-        self.tell_ended(false);
+        self.report_outcome(false);
     }
 
-    /// A request makes no progress, and is waited for all the same: it may run nowhere else.
+    /// Reports to the scout that the request makes no progress. It stays at the server, since it may run nowhere else.
     pub(crate) fn is_slow(&self) {
-        self.tell_ended(false);
+        self.report_outcome(false);
     }
 
-    fn tell_ended(&self, well: bool) {
+    fn report_outcome(&self, success: bool) {
         if self.tokens > 0 {
-            self.relay.tell_ended(self.record.address, well);
+            self.relay.tell_ended(self.record.address, success);
         }
     }
 
-    /// Another server than the expected one is at the address.
+    /// Records that the address belongs to another server than expected.
     pub(crate) fn record_mismatch(&self, other: &Name) {
         let now = self.relay.now();
         tracing::info!(server = %self.record.id, %other, address = %self.record.address, "fleet: another server is at the address");
         self.relay.fleet().record_mismatch(now, self.key, other);
     }
 
-    /// The round trip to the server.
+    /// The round-trip time to the server.
     pub(crate) fn round_trip(&self) -> Duration {
         let now = self.relay.now();
         self.relay.fleet().round_trip(now, &self.record.zone)
     }
 
-    /// A plain server has answered after so long, with so many calls waiting there.
-    pub(crate) fn worked(&self, took: Duration, waiting: u32) {
+    /// Records a plain server's response time. Ignored if calls were waiting there, since it then includes their queueing.
+    pub(crate) fn worked(&self, elapsed: Duration, waiting: u32) {
         if waiting == 0 {
             let now = self.relay.now();
-            self.relay.fleet().record_work_time(now, self.key, took);
+            self.relay.fleet().record_work_time(now, self.key, elapsed);
         }
     }
 
-    /// An answer to a request that was sent at `sent` names the server's limit, or none.
+    /// Records the limit that an answer states, or that it states none. `sent` is when the request was sent.
     pub(crate) fn record_limit(&self, sent: Time, limit: Option<RequestRate>) {
         let server = (self.key, &self.record.id);
         self.relay.record_limit(server, sent, limit);
     }
 
+    /// Records the counts of running and waiting requests that an answer states.
     pub(crate) fn record_queue(&self, load: Option<(u32, u32)>) {
         if let Some((running, waiting)) = load {
             self.relay.fleet().record_queue(self.key, running, waiting);
--- a/relay/src/relay_limits.rs
+++ b/relay/src/relay_limits.rs
@@ -1,4 +1,4 @@
-//! The limits that backend servers name: taken from answers and other relays, told on, logged and counted.
+//! Request rate limits that backend servers state: learned from answers and other relays, passed on, logged and counted.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::relay::Relay;
 
 impl Relay {
-    /// A server's answer to a request that was sent at `sent` names its limit, or none.
+    /// Records the limit that a server's answer states, or that it states none. `sent` is when the request was sent.
     pub(crate) fn record_limit(
         &self,
         (key, server): (ServerKey, &Name),
@@ -26,27 +26,27 @@
         let Some(change) = change else {
             return;
         };
-        self.note_limit(server, change, None);
-        // Others would learn of it only by a request of their own.
+        self.log_limit_change(server, change, None);
+        // Other relays would otherwise learn of it only from an answer to a request of their own.
         if !matches!(change, LimitChange::Changed(_)) {
             self.hello_due.notify_one();
         }
     }
 
-    /// What other relays are told of servers' limits.
+    /// The servers' limits as reported to other relays.
     pub(crate) fn limit_reports(&self) -> Vec<LimitReport> {
         self.fleet().limit_reports(self.now())
     }
 
-    /// Another relay tells of servers' limits.
+    /// Applies the servers' limits that another relay reports.
     pub(crate) fn apply_limit_reports(&self, from: SocketAddr, words: &[LimitReport]) {
         let changes = self.fleet().apply_limit_reports(self.now(), words);
         for (server, change) in changes {
-            self.note_limit(&server, change, Some(from));
+            self.log_limit_change(&server, change, Some(from));
         }
     }
 
-    /// How long until this relay may send the request to a server that only its limit keeps it from.
+    /// Shortest wait until a server has room that is excluded only because of its limit.
     pub(crate) fn shortest_limit_wait(
         &self,
         need: &PlacementRequest<'_>,
@@ -55,7 +55,7 @@
         self.fleet().shortest_limit_wait(self.now(), need, spec)
     }
 
-    fn note_limit(&self, server: &Name, change: LimitChange, from: Option<SocketAddr>) {
+    fn log_limit_change(&self, server: &Name, change: LimitChange, from: Option<SocketAddr>) {
         self.metrics()
             .set_limited_servers(self.fleet().limited_server_count());
         let from = from.map(tracing::field::display);
--- a/relay/src/relay_places.rs
+++ b/relay/src/relay_places.rs
@@ -1,4 +1,4 @@
-//! Where an entry's requests are, and what others are told of them.
+//! Places an entry's requests on servers, and tells other processes about them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,8 +27,8 @@
 use crate::relay::Sent;
 
 impl Relay {
-    /// Chooses a server and counts the request as sent there. Where it is `asking` whether it is taken in, it
-    /// goes only to an engine that is not too crowded.
+    /// Chooses a server and counts the request as sent there. If `asking` is given, the request is subject to admission
+    /// control and goes only to an engine that is not overloaded.
     pub(crate) fn place(
         self: &Arc<Self>,
         need: &PlacementRequest<'_>,
@@ -66,12 +66,12 @@
         Ok(Placed::new(self, key, record, need).with_basis(basis))
     }
 
-    /// The requests that were turned away lately. Held for microseconds.
+    /// Recently rejected requests. The lock is held for microseconds.
     pub(crate) fn returns(&self) -> MutexGuard<'_, RecentRejections> {
         lock(&self.returns)
     }
 
-    /// Whether the workspace has taken more than its share of the service lately.
+    /// Whether the workspace recently used more than its share of the service.
     pub(crate) fn is_over(&self, service: &Name, workspace: Option<&Name>) -> bool {
         let (Some(workspace), true) = (workspace, self.policy().shares) else {
             return false;
@@ -82,7 +82,7 @@
             .is_some_and(|used| used.is_over_share(now, workspace))
     }
 
-    /// A stream of the workspace was taken in, that is expected to hold so many tokens.
+    /// Records that a stream of the workspace was admitted that is expected to hold this many tokens.
     pub(crate) fn note_taken(&self, service: &Name, workspace: Option<&Name>, tokens: u64) {
         let Some(workspace) = workspace else {
             return;
@@ -93,7 +93,7 @@
         used.record(now, workspace, tokens);
     }
 
-    /// When a caller that was turned away is asked back.
+    /// How long a rejected caller waits before it retries.
     pub(crate) fn comeback(
         &self,
         service: &Name,
@@ -105,20 +105,25 @@
         comebacks.retry_delay(now, service, asking, left, fastrand::f64())
     }
 
-    /// Counts a request for a service.
+    /// Counts a request for the service, which raises the service's retry limit.
     pub(crate) fn count_request(&self, service: &Name) {
         let now = self.now();
-        self.with_retries(service, |window| window.record_request(now));
+        self.with_retry_window(service, |window| window.record_request(now));
     }
 
-    /// Takes one further send for a service from the shared bound.
-    pub(crate) fn take_retry(&self, service: &Name, spare: f64) -> bool {
+    /// Takes one retry for the service if the limit that all entries share allows it. `reserved`, from 0 to 1, is the
+    /// share of the limit to leave to other retries.
+    pub(crate) fn take_retry(&self, service: &Name, reserved: f64) -> bool {
         let now = self.now();
         let entries = self.fleet().entry_shares().count();
-        self.with_retries(service, |window| window.try_retry(now, entries, spare))
+        self.with_retry_window(service, |window| window.try_retry(now, entries, reserved))
     }
 
-    fn with_retries<T>(&self, service: &Name, action: impl FnOnce(&mut RetryWindow) -> T) -> T {
+    fn with_retry_window<T>(
+        &self,
+        service: &Name,
+        action: impl FnOnce(&mut RetryWindow) -> T,
+    ) -> T {
         let mut windows = lock(&self.retries);
         let bound = self.changing().retries;
         let window = windows
@@ -127,7 +132,7 @@
         action(window)
     }
 
-    /// Counts a run at the engine to which its scout has moved it. `None` where the run may not go there.
+    /// Counts a run at the engine to which its scout has moved it. Returns `None` if the run is not permitted there.
     pub(crate) fn place_moved(
         self: &Arc<Self>,
         engine: &EngineHere,
@@ -145,17 +150,18 @@
         Some(Placed::new(self, key, record, need))
     }
 
-    /// Tells other relays and the engine's scout of a request to an engine, before the engine's report can.
+    /// Announces a request that was sent to an engine to the engine's scout and to other relays, ahead of the engine's
+    /// next load report.
     pub(crate) fn tell_sent(&self, placed: &Placed, id: Option<&Name>) {
         let engine = placed.record.address;
         let Some(word) = id.map(|id| placed.word(id)) else {
             return;
         };
-        // Where reports are too old to choose by, relays ask the scout, which knows.
-        let asks = self.policy().ask;
+        // If reports arrive too seldom to choose by, the other relays probe the scout, which counts this request.
+        let probes = self.policy().ask;
         let service = &placed.record.service;
         let fleet = self.fleet();
-        let sparse = asks && fleet.reports_too_sparse(self.now(), service, &ANY_REGION);
+        let sparse = probes && fleet.reports_too_sparse(self.now(), service, &ANY_REGION);
         drop(fleet);
         let sent = Sent {
             word,
@@ -166,14 +172,14 @@
         }
     }
 
-    /// Tells the engine's scout how a request ended there.
+    /// Tells the engine's scout whether a request succeeded there.
     pub(crate) fn tell_ended(&self, engine: SocketAddr, well: bool) {
         if self.ended.try_send(RunEnded { engine, well }).is_err() {
             tracing::debug!(%engine, "peers: too many words wait, one is left out");
         }
     }
 
-    /// Another relay has sent a request to an engine.
+    /// Records a request that another relay sent to an engine.
     pub(crate) fn sent_elsewhere(&self, word: &SentWord) {
         let now = self.now();
         let mut fleet = self.fleet();
