--- a/relay/src/relay.rs
+++ b/relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! What all requests of an entry share.
+//! State that all requests of an entry share.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -47,10 +47,10 @@
 use crate::relay_settings::Policy;
 use crate::relay_settings::RelaySettings;
 
-/// Words to other relays that wait to be sent.
-const WAITING_WORDS: usize = 256;
+/// Capacity of each queue of messages to other processes.
+const MESSAGE_QUEUE_LEN: usize = 256;
 
-/// What waits to be told to other processes.
+/// Receiving ends of the queues of messages to other processes.
 pub(crate) struct Pending {
     pub(crate) sent: mpsc::Receiver<Sent>,
     pub(crate) ended: mpsc::Receiver<RunEnded>,
@@ -58,27 +58,27 @@
     pub(crate) asks: mpsc::Receiver<Vec<LoadAsk>>,
 }
 
-/// A request that was sent, to be told of.
+/// A request that was sent to an engine, to be announced to other processes.
 pub(crate) struct Sent {
     pub(crate) word: SentWord,
-    // Whether other relays are told beside the engine's scout.
+    // Whether other relays are told, or only the engine's scout.
     pub(crate) widely: bool,
 }
 
-/// What keeps requests from some backend servers, for the status page.
+/// Counts of what restricts the choice of backend servers, for the status page.
 #[derive(Clone, Debug)]
 pub struct Restrictions {
     /// Evacuated availability zones.
     pub evacuated: Vec<Name>,
-    /// Routes and workspaces with allowed regions.
+    /// Number of routes and workspaces that are restricted to some regions.
     pub restricted: usize,
-    /// Cold servers of services that bound what these get.
+    /// Number of cold servers, of services that limit requests to cold servers.
     pub cold: usize,
-    /// Servers that name a limit.
+    /// Number of servers that state a request rate limit.
     pub limited: usize,
 }
 
-/// An entry.
+/// An entry: routes callers' requests to backend servers and relays the answers.
 pub struct Relay {
     pub(crate) settings: RelaySettings,
     pub(crate) changing: ArcSwap<Changing>,
@@ -92,57 +92,58 @@
     pub(crate) retries: Mutex<HashMap<Name, RetryWindow>>,
     pub(crate) comebacks: Mutex<RetryPacer>,
     pub(crate) returns: Mutex<RecentRejections>,
-    // By service.
+    // Recent use of each service by each workspace.
     pub(crate) used: Mutex<HashMap<Name, WorkspaceUsage>>,
-    // Whether the list of servers has been read once.
+    // Whether a list of servers has been received.
     pub(crate) listed: AtomicBool,
+    // Whether calls to the directory fail, and whether this relay watches it successfully.
     pub(crate) out_of_reach: AtomicBool,
     pub(crate) fed: AtomicBool,
-    // When the drain began.
+    // When the drain began, if it has.
     pub(crate) draining: Mutex<Option<Instant>>,
-    // Raised when what is known of a server's leaving changes.
+    // Incremented when the list of servers, or what is known of servers that leave, changes.
     pub(crate) leaving: watch::Sender<u64>,
     pub(crate) moved: MovedRuns,
     pub(crate) peers: Mutex<Peers>,
-    // What other relays are to be told; the receivers until their task takes them.
+    // Queues of messages to other processes. `pending` has the receiving ends until the sending task takes them.
     pub(crate) sent: mpsc::Sender<Sent>,
     pub(crate) ended: mpsc::Sender<RunEnded>,
     pub(crate) news: mpsc::Sender<ServerNews>,
     pub(crate) load_probes: LoadProbes,
-    // Told when the list has changed, and engines may have come.
+    // Notified when the list of servers has changed, so that there may be new engines.
     pub(crate) joined: Notify,
-    // Told when other relays are to hear something at once.
+    // Notified when other relays should get a `Hello` without delay.
     pub(crate) hello_due: Notify,
     pub(crate) pending: Mutex<Option<Pending>>,
     pub(crate) revision: Mutex<Revision>,
-    // Told when the directory has gone back to an older copy of itself.
+    // Changes when the directory was restored from an older copy of itself.
     pub(crate) era: watch::Sender<SeenEra>,
-    // For relays that have missed some.
+    // Recent changes of the list of servers, for relays that missed some.
     pub(crate) changes: Mutex<ChangeLog>,
-    // Raised when idle connections are to be closed.
+    // Set when idle connections are to be closed.
     pub(crate) ending: watch::Sender<bool>,
-    // Raised when no connection is taken any more.
+    // Set when no more connections are accepted.
     pub(crate) closing: watch::Sender<bool>,
 }
 
 impl Relay {
-    /// An entry that knows no configuration yet.
+    /// Creates an entry that has no configuration yet.
     pub fn new(
         settings: RelaySettings,
         dialect: Arc<dyn Dialect>,
         engines: Arc<dyn EngineCalls>,
         metrics: RelayMetrics,
     ) -> Arc<Self> {
-        let (sent, sent_out) = mpsc::channel(WAITING_WORDS);
-        let (ended, ended_out) = mpsc::channel(WAITING_WORDS);
-        let (news, news_out) = mpsc::channel(WAITING_WORDS);
-        let (load_probes, asks_out) = LoadProbes::new();
+        let (sent, sent_receiver) = mpsc::channel(MESSAGE_QUEUE_LEN);
+        let (ended, ended_receiver) = mpsc::channel(MESSAGE_QUEUE_LEN);
+        let (news, news_receiver) = mpsc::channel(MESSAGE_QUEUE_LEN);
+        let (load_probes, asks_receiver) = LoadProbes::new();
         let clock = Clock::new();
         let pending = Pending {
-            sent: sent_out,
-            ended: ended_out,
-            news: news_out,
-            asks: asks_out,
+            sent: sent_receiver,
+            ended: ended_receiver,
+            news: news_receiver,
+            asks: asks_receiver,
         };
         Arc::new(Relay {
             sent,
@@ -180,12 +181,12 @@
         })
     }
 
-    /// Binds the addresses and serves in the current runtime.
+    /// Binds the addresses and starts serving on the current runtime.
     pub async fn serve(self: &Arc<Self>) -> std::io::Result<()> {
         self.peers()
             .add_known(self.settings.peer, self.settings.seeds.iter().copied());
-        let questions = caller_server::listen(self.settings.peer)?;
-        tokio::spawn(peer_pull::serve(self.clone(), questions));
+        let pulls = caller_server::listen(self.settings.peer)?;
+        tokio::spawn(peer_pull::serve(self.clone(), pulls));
         let peers = PeerNet::bind(self.clone(), self.settings.peer).await?;
         let pending = lock(&self.pending).take();
         if let (Some(asks), Some(pending)) = (self.moved.take_asks(), pending) {
@@ -198,27 +199,27 @@
         Ok(())
     }
 
-    /// A scout has moved a run.
+    /// Records that a scout moved a run.
     pub(crate) fn note_moved(&self, moved: MovedRun) {
         self.moved.note(moved);
     }
 
-    /// A scout is about to move a run.
+    /// Opens a connection to the target engine of a run that a scout is about to move, if its stream is here.
     pub(crate) fn prepare_move(&self, moving: &MovedRun) {
         let now = self.now();
         let fleet = self.fleet();
         let key = moving.target.and_then(|target| fleet.key_at(target));
         let record = key.and_then(|key| fleet.record(key));
-        let trip = record.map_or(Duration::ZERO, |r| fleet.round_trip(now, &r.zone));
+        let round_trip = record.map_or(Duration::ZERO, |r| fleet.round_trip(now, &r.zone));
         drop(fleet);
-        self.moved.prepare(moving, trip);
+        self.moved.prepare(moving, round_trip);
     }
 
     pub(crate) fn moved(&self) -> &MovedRuns {
         &self.moved
     }
 
-    /// Takes settings that have changed. The sends that were counted under an older bound are forgotten.
+    /// Applies changed settings. If the retry limit changes, the requests and retries counted so far are discarded.
     pub fn set_changing(&self, changing: Changing) {
         let before = self.changing.swap(Arc::new(changing));
         if before.retries != changing.retries {
@@ -235,19 +236,19 @@
         self.changing().policy
     }
 
-    /// From SIGTERM to the end by force.
+    /// The time from SIGTERM until the process is killed.
     pub(crate) fn grace(&self) -> Duration {
         self.changing().grace
     }
 
-    /// What holds for where requests may go.
+    /// Counts what currently restricts the choice of servers.
     pub fn restrictions(&self) -> Restrictions {
         let table = self.table();
         let config = table.config();
         let routes = config.routes.iter().map(|route| &route.regions);
         let workspaces = config.workspaces.iter().map(|w| &w.regions);
-        let all = routes.chain(workspaces);
-        let restricted = all
+        let allowed_regions = routes.chain(workspaces);
+        let restricted = allowed_regions
             .filter(|regions| **regions != AllowedRegions::Any)
             .count();
         let fleet = self.fleet();
@@ -259,10 +260,10 @@
         }
     }
 
-    /// Whether new connections are welcome.
+    /// Whether the entry takes new connections: it has a configuration and a list of servers, and does not drain.
     pub fn is_ready(&self) -> bool {
-        let knows = self.table.load().has_config() && self.listed.load(Ordering::Relaxed);
-        knows && !self.is_draining()
+        let has_state = self.table.load().has_config() && self.listed.load(Ordering::Relaxed);
+        has_state && !self.is_draining()
     }
 
     pub(crate) fn settings(&self) -> &RelaySettings {
@@ -293,17 +294,17 @@
         self.table.load_full()
     }
 
-    /// The pending load probes.
+    /// The open load probes to scouts.
     pub(crate) fn load_probes(&self) -> &LoadProbes {
         &self.load_probes
     }
 
-    /// Whether this process has stood still. Held for microseconds.
+    /// Detects whether this process was frozen. The lock is held for microseconds.
     pub(crate) fn freeze_detector(&self) -> MutexGuard<'_, FreezeDetector> {
         lock(&self.freeze_detector)
     }
 
-    /// The backend servers. Held for microseconds.
+    /// The backend servers. The lock is held for microseconds.
     pub(crate) fn fleet(&self) -> MutexGuard<'_, Fleet> {
         lock(&self.fleet)
     }
@@ -312,7 +313,7 @@
         self.grace_left().is_some()
     }
 
-    /// How long the process still runs, while it drains.
+    /// The time left until the process is killed, if it drains.
     pub(crate) fn grace_left(&self) -> Option<Duration> {
         let begun = *lock(&self.draining);
         begun.map(|begun| self.grace().saturating_sub(begun.elapsed()))
@@ -347,7 +348,7 @@
         self.leaving.subscribe()
     }
 
-    /// What is known of a server's leaving has changed.
+    /// Notifies running streams that the list of servers, or what is known of servers that leave, has changed.
     pub(crate) fn note_leaving(&self) {
         self.leaving.send_modify(|count| *count += 1);
     }
--- a/relay/src/relay_settings.rs
+++ b/relay/src/relay_settings.rs
@@ -1,4 +1,4 @@
-//! What a relay is told by its settings.
+//! Settings of a relay.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,51 +7,51 @@
 use cicada_lib::ids::Name;
 use cicada_lib::retry_window::RetryLimit;
 
-/// What an entry is told by its settings.
+/// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct RelaySettings {
     /// The host's name.
     pub name: Name,
-    /// Where other processes of the system send datagrams.
+    /// Address at which other processes of the system send datagrams.
     pub peer: SocketAddr,
-    /// Other processes that may be relays, before the directory is read.
+    /// Addresses of processes that may be relays, used until the directory is read.
     pub seeds: Vec<SocketAddr>,
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub listen: SocketAddr,
-    /// Where the balancer asks whether the entry takes connections.
+    /// Address of the readiness check by which the balancer learns whether the entry takes connections.
     pub ready: SocketAddr,
-    /// The availability zone, and the regions of all.
+    /// The entry's availability zone, and the region of each zone.
     pub place: Location,
-    /// What may change while the relay runs.
+    /// Settings that may change while the relay runs.
     pub changing: Changing,
 }
 
-/// Settings that take effect at once when they change.
+/// Settings that take effect without a restart.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Changing {
-    /// The bound of further sends, for all entries together.
+    /// The limit on retries, for all entries together.
     pub retries: RetryLimit,
-    /// From SIGTERM to the end by force.
+    /// The time from SIGTERM until the process is killed.
     pub grace: Duration,
-    /// What the relay does of itself.
+    /// Optional behaviours.
     pub policy: Policy,
 }
 
-/// What a relay does of itself; each can be switched off.
+/// Optional behaviours of a relay. Each field is the switch of the same name in the settings.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Policy {
-    /// Streams are refused that no engine can hold or begin in time.
+    /// Reject streams that no engine can hold in memory or start in time.
     pub refuse: bool,
-    /// Callers that were refused and come back are told from new ones.
+    /// Recognize the retries of rejected callers, and credit them with the time that they have waited.
     pub returns: bool,
-    /// Streams that may be resumed go on in another run.
+    /// Resume interrupted streams in another run, on routes that allow it.
     pub resume: bool,
-    /// Such streams are given up at engines that make no progress.
+    /// Abandon runs of resumable streams at engines that make no progress.
     pub patience: bool,
-    /// Engines that fail part of their requests are avoided.
+    /// Avoid engines that fail a part of their requests.
     pub avoid: bool,
-    /// Workspaces that took more than their share leave room for others.
+    /// Give workspaces that used more than their share less room than others.
     pub shares: bool,
-    /// Scouts are asked for the load of their engines where reports come too seldom.
+    /// Probe scouts for the load of their engines if reports arrive too seldom.
     pub ask: bool,
 }
--- a/relay/src/relay_view.rs
+++ b/relay/src/relay_view.rs
@@ -1,5 +1,5 @@
-//! What an entry knows of the deployment: the configuration, the backend servers, evacuated availability zones and
-//! the other entries.
+//! An entry's view of the deployment: the configuration, the backend servers, evacuated availability zones and the
+//! other entries.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,29 +25,29 @@
 use crate::peers::Peers;
 use crate::relay::Relay;
 
-/// Engines that name a limit, in what is told of a group: they fit into a datagram beside the rest.
-const MOST_LIMITED: usize = 32;
+/// Maximum number of rate-limited engines listed for a group, so that the message fits into one datagram.
+const MAX_LIMITED_ENGINES: usize = 32;
 
 /// The engines of a service in a region.
 pub(crate) struct EngineGroup {
     pub(crate) engines: Vec<SocketAddr>,
-    // Whether it is this relay's own region.
+    // Whether the group is in this relay's own region.
     pub(crate) near: bool,
-    // The path at which they name themselves.
+    // The path at which the engines report their identifiers.
     pub(crate) health: Name,
-    // How long they are cold after a start.
+    // How long the engines are cold after a start.
     pub(crate) cold: Duration,
-    // Those of the service, in any region, that name a limit.
+    // Engines of the service, in any region, that state a request rate limit.
     pub(crate) limited: Vec<SocketAddr>,
 }
 
 impl Relay {
-    /// The version of the configuration in force; 0 for none.
+    /// The version of the configuration in force; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.table.load().config().version
     }
 
-    /// Takes a configuration, if it is newer than the one in force.
+    /// Puts a configuration into force if it is newer than the current one, and returns whether it did.
     pub fn set_config(&self, config: Arc<SiteConfig>) -> bool {
         let known = self.table.load();
         if config.version <= known.config().version {
@@ -64,7 +64,7 @@
         true
     }
 
-    /// Takes the whole list of backend servers.
+    /// Replaces the list of backend servers with a complete one.
     pub fn set_servers(&self, listing: &ServerListing) {
         self.saw(listing.revision);
         self.fleet().replace_servers(self.now(), &listing.servers);
@@ -72,7 +72,7 @@
         self.listed_at(listing.revision);
     }
 
-    /// Takes a list in which servers may be missing that are still there.
+    /// Merges a list of backend servers that may be incomplete: servers that it lacks stay.
     pub fn add_servers(&self, listing: &ServerListing) {
         self.saw(listing.revision);
         self.fleet().merge_servers(self.now(), &listing.servers);
@@ -80,7 +80,7 @@
         self.listed_at(listing.revision);
     }
 
-    /// Takes the list of another relay, unless more is known by now.
+    /// Applies the list that another relay sent, unless it is older than the known one.
     pub(crate) fn take_listing(&self, listing: &ServerListing) {
         let (revision, known) = (listing.revision, self.revision());
         if revision < known {
@@ -93,34 +93,37 @@
         }
     }
 
-    /// Takes changes of the list from the directory, and passes them on to the relays of the zone.
+    /// Applies changes of the list that the directory reported, and passes them on to other relays.
     pub fn change_servers(&self, after: Revision, news: &ServerChanges) {
         if !news.changes.is_empty() {
-            let word = ServerNews {
+            let message = ServerNews {
                 after,
                 changes: news.clone(),
             };
-            if self.news.try_send(word).is_err() {
-                tracing::debug!("peers: too much news waits, others will ask for it");
+            if self.news.try_send(message).is_err() {
+                tracing::debug!(
+                    "peers: the queue of server changes is full; other relays will pull them"
+                );
             }
         }
         self.take_changes(after, news);
     }
 
-    /// Takes changes that another relay tells of, if they follow on what is known here.
+    /// Applies changes that another relay reports, if none between them and the known revision are missing.
     pub(crate) fn news(&self, news: &ServerNews) {
         if self.revision() >= news.after {
             self.take_changes(news.after, &news.changes);
         }
     }
 
-    /// What has changed of the list after the revision, where that is kept.
+    /// The changes of the list after the revision, if the log reaches back that far.
     pub(crate) fn changes_since(&self, revision: Revision) -> Option<ServerChanges> {
         lock(&self.changes).since(revision)
     }
 
+    /// Applies changes that follow on the revision `after`, unless later ones are known already.
     pub(crate) fn take_changes(&self, after: Revision, news: &ServerChanges) {
-        // Another relay may have told of them, and of later ones, before.
+        // Another relay may have reported these changes and later ones before.
         let known = self.revision();
         if news.revision < known {
             let (changes, revision) = (news.changes.len(), news.revision);
@@ -138,41 +141,42 @@
         self.listed_at(news.revision);
     }
 
-    /// The revision up to which the backend servers are known.
+    /// The revision up to which the list of backend servers is known.
     pub fn revision(&self) -> Revision {
         *lock(&self.revision)
     }
 
-    /// Something was read at the revision, by this relay or another one.
+    /// Records that this relay or another one read the directory at the revision, and detects whether the directory was
+    /// restored from an older copy.
     pub(crate) fn saw(&self, revision: Revision) {
         let now = self.now();
-        let mut went_back = false;
+        let mut rolled_back = false;
         self.era.send_if_modified(|seen| {
-            went_back = seen.saw(now, revision);
-            went_back
+            rolled_back = seen.saw(now, revision);
+            rolled_back
         });
-        if went_back {
+        if rolled_back {
             self.fleet().directory_rolled_back(now);
             tracing::info!(%revision, known = %self.revision(), "directory: it has gone back to an older copy");
         }
     }
 
-    /// The latest era of the directory.
+    /// The latest known era of the directory, which increases each time it is restored from an older copy.
     pub(crate) fn era(&self) -> u64 {
         self.era.borrow().era()
     }
 
-    /// Whether the directory has all that it may have lost when it went back.
+    /// Whether the entries that the directory lost in its last restore have had time to be written again.
     pub(crate) fn is_settled(&self) -> bool {
         self.era.borrow().is_settled(self.now())
     }
 
-    /// Changes when the directory goes back once more.
+    /// Subscribes to restores of the directory from an older copy.
     pub(crate) fn eras(&self) -> watch::Receiver<SeenEra> {
         self.era.subscribe()
     }
 
-    /// The backend servers as they are known.
+    /// The known list of backend servers, with its revision.
     pub(crate) fn listing(&self) -> ServerListing {
         let servers = self.fleet().servers().cloned().collect();
         ServerListing {
@@ -181,6 +185,7 @@
         }
     }
 
+    /// Records up to which revision the list is known, and notifies whoever follows it.
     fn listed_at(&self, revision: Revision) {
         let mut known = lock(&self.revision);
         *known = revision.max(*known);
@@ -190,7 +195,7 @@
         self.joined.notify_one();
     }
 
-    /// Whether this relay may watch the directory for its region, where it is `watching` already or not.
+    /// Whether this relay may watch the directory on behalf of its region. `watching` tells whether it does so now.
     pub(crate) fn may_watch(&self, watching: bool) -> bool {
         let own = self.settings.peer;
         self.peers()
@@ -203,12 +208,12 @@
         place.region_of(zone) == place.region_of(&place.zone)
     }
 
-    /// The other relays. Held for microseconds.
+    /// The other relays. The lock is held for microseconds.
     pub(crate) fn peers(&self) -> MutexGuard<'_, Peers> {
         lock(&self.peers)
     }
 
-    /// Relays of this region that were heard lately, and this one.
+    /// Number of relays in this region that were recently heard from, including this one.
     pub(crate) fn relays_in_region(&self) -> usize {
         let peers = self.peers();
         1 + peers.count_recently_heard(|zone| self.is_near(zone))
@@ -219,7 +224,8 @@
         self.fleet().evacuated().clone()
     }
 
-    /// Takes over which availability zones are evacuated, from the directory or another relay, if that is news.
+    /// Applies which availability zones are evacuated, as read from the directory or sent by another relay. Returns
+    /// whether that changed anything.
     pub fn set_evacuated(&self, evacuated: &EvacuatedZones) -> bool {
         let change = self.fleet().set_evacuated(self.now(), evacuated);
         if change.is_empty() {
@@ -239,7 +245,7 @@
         true
     }
 
-    /// Takes over which relays share what backend servers take from all of them, where that has changed.
+    /// Updates the set of relays that share the capacity of the backend servers, if it has changed.
     pub(crate) fn share_among_entries(&self) {
         let others = self.peers().take_changed_peers();
         if let Some(others) = others {
@@ -247,7 +253,7 @@
         }
     }
 
-    /// How this relay is reached by the others.
+    /// The record by which other processes find this relay.
     pub(crate) fn peer_record(&self) -> PeerRecord {
         PeerRecord {
             name: self.settings.name.clone(),
@@ -257,17 +263,18 @@
         }
     }
 
-    /// Whether the directory has failed for a moment.
+    /// Whether calls to the directory have failed for long enough to count it as unreachable.
     pub(crate) fn is_out_of_reach(&self) -> bool {
         self.out_of_reach.load(Ordering::Relaxed)
     }
 
-    /// Whether this relay watches the directory and is answered.
+    /// Whether this relay watches the directory successfully.
     pub(crate) fn is_fed(&self) -> bool {
         self.fed.load(Ordering::Relaxed) && !self.is_out_of_reach()
     }
 
-    /// Notes whether this relay watches the directory and was answered last. Others are told at once that one does.
+    /// Records whether this relay watches the directory and its last call succeeded. If that becomes true, other relays
+    /// are told at once.
     pub(crate) fn set_fed(&self, fed: bool) {
         let before = self.fed.swap(fed, Ordering::Relaxed);
         if fed && !before {
@@ -275,13 +282,12 @@
         }
     }
 
-    /// Notes whether the directory fails.
+    /// Records whether the directory is unreachable.
     pub(crate) fn set_out_of_reach(&self, out: bool) {
         self.out_of_reach.store(out, Ordering::Relaxed);
     }
 
-    /// The engines, those of a service and region together: runs can be moved between them. Each with
-    /// whether the group is of this relay's region.
+    /// The engines, grouped by service and region. Runs can be moved between the engines of a group.
     pub(crate) fn engine_groups(&self) -> Vec<EngineGroup> {
         let table = self.table();
         let place = &self.settings.place;
@@ -304,7 +310,7 @@
                 cold: spec.cold.period,
                 limited: fleet
                     .limited_addresses(&server.service)
-                    .take(MOST_LIMITED)
+                    .take(MAX_LIMITED_ENGINES)
                     .collect(),
             });
             group.engines.push(server.address);
@@ -312,19 +318,19 @@
         groups.into_values().collect()
     }
 
-    /// Waits until other relays are to be told something at once.
+    /// Waits until other relays should get a `Hello` without delay.
     pub(crate) async fn hello_due(&self) {
         self.hello_due.notified().await;
     }
 
-    /// The directory tells of evacuations; others are told at once where that is news.
+    /// Applies the evacuations that the directory reports. If they changed, other relays are told at once.
     pub fn take_evacuated(&self, evacuated: &EvacuatedZones) {
         if self.set_evacuated(evacuated) {
             self.hello_due.notify_one();
         }
     }
 
-    /// Waits until engines have come.
+    /// Waits until there may be new engines.
     pub(crate) async fn engines_joined(&self) {
         self.joined.notified().await;
     }
