--- a/lib/tests/relays/mod.rs
+++ b/lib/tests/relays/mod.rs
@@ -1,7 +1,7 @@
-//! A hundred relays before a hundred engines in simulated time, on the decisions as they are.
+//! Simulates a hundred relays that place streams on a hundred engines, using the library's own placement code.
 //!
-//! An engine reads one prompt after the other; its memory is not short here. Its scout tells each relay of it
-//! at an interval, and answers at once when it is asked.
+//! Each engine prefills one prompt at a time and never runs short of memory. Its scout reports to each relay at a fixed
+//! interval, and answers probes at once.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -34,61 +34,64 @@
 const CAPACITY: u64 = 34_000;
 const SLOTS: u32 = 24;
 
-/// Tokens of a prompt that an engine reads in a millisecond beside its runs.
-const READ: f64 = 7.0;
+/// Prompt tokens that an engine prefills per millisecond while it decodes its runs.
+const PREFILL_RATE: f64 = 7.0;
 
-/// The part of the time for which engines read.
-const BUSY: f64 = 0.6;
+/// Utilization: the share of the time that engines spend on prefill.
+const UTILIZATION: f64 = 0.6;
 
-/// The objective, in milliseconds.
+/// Latency objective for the first event, in milliseconds.
 const OBJECTIVE: u64 = 1_500;
 
-/// How often a scout looks at its engine, in milliseconds.
-const LOOK: u64 = 30;
+/// Interval at which a scout polls its engine, in milliseconds.
+const POLL_INTERVAL: u64 = 30;
 
-/// How long a run goes on after its first event, in milliseconds.
-const RUN: u64 = 3_000;
+/// Duration of a run after its first event, in milliseconds.
+const RUN_DURATION: u64 = 3_000;
 
-/// How relays choose.
+/// How relays choose an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Choice {
-    /// The best by the reports that are there.
+    /// By the latest load reports.
     Reports,
-    /// By the scouts' answers.
+    /// By probing scouts.
     Asking,
 }
 
-/// What callers got, and engines.
+/// Latencies of the callers and load of the engines.
 pub(crate) struct Outcome {
-    // Milliseconds to each first event, beside those of an idle engine.
-    waits: Vec<(u64, u64)>,
-    // Tokens that each engine was sent to read.
-    read: Vec<u64>,
+    // For each stream: time to its first event, and the same on an idle engine, in milliseconds.
+    first_events: Vec<(u64, u64)>,
+    // Prompt tokens sent to each engine.
+    prompt_tokens: Vec<u64>,
 }
 
 impl Outcome {
-    /// The part of the callers whose first event was late.
+    /// Share of the callers whose first event missed the latency objective.
     pub(crate) fn late(&self) -> f64 {
-        let late = self.waits.iter().filter(|(wait, _)| *wait > OBJECTIVE);
-        late.count() as f64 / self.waits.len() as f64
+        let late = self
+            .first_events
+            .iter()
+            .filter(|(time, _)| *time > OBJECTIVE);
+        late.count() as f64 / self.first_events.len() as f64
     }
 
-    /// The median of the first event, in parts of an idle engine's.
+    /// Median time to the first event, relative to an idle engine.
     pub(crate) fn median(&self) -> f64 {
-        let mut parts: Vec<f64> = self
-            .waits
+        let mut ratios: Vec<f64> = self
+            .first_events
             .iter()
-            .map(|(wait, idle)| *wait as f64 / *idle as f64)
+            .map(|(time, idle)| *time as f64 / *idle as f64)
             .collect();
-        parts.sort_by(f64::total_cmp);
-        parts[parts.len() / 2]
+        ratios.sort_by(f64::total_cmp);
+        ratios[ratios.len() / 2]
     }
 
-    /// What the busiest engine read, in parts of the mean.
+    /// Prompt tokens sent to the busiest engine, relative to the mean.
     pub(crate) fn busiest(&self) -> f64 {
-        let most = self.read.iter().max().copied().unwrap_or_default();
-        let mean = self.read.iter().sum::<u64>() as f64 / self.read.len() as f64;
-        most as f64 / mean
+        let max = self.prompt_tokens.iter().max().copied().unwrap_or_default();
+        let mean = self.prompt_tokens.iter().sum::<u64>() as f64 / self.prompt_tokens.len() as f64;
+        max as f64 / mean
     }
 }
 
@@ -97,36 +100,37 @@
     relay: usize,
     key: ServerKey,
     tokens: u64,
-    sent: u64,
+    sent_at: u64,
 }
 
 #[derive(Default)]
 struct Engine {
     load_tracker: EngineLoadTracker,
-    // Prompts that wait, the first one being read until `free`.
+    // Prompts that are not prefilled yet. The first one is being prefilled until `prefill_end`.
     prompts: VecDeque<Prompt>,
-    free: u64,
-    // Runs that have begun, and when they end.
+    prefill_end: u64,
+    // Runs past their first event, and when they end.
     runs: HashMap<Name, u64>,
 }
 
-struct World {
+struct Simulation {
     rng: fastrand::Rng,
     now: u64,
     choice: Choice,
     interval: u64,
     relays: Vec<Fleet>,
     engines: Vec<Engine>,
-    // When the runs of a relay end: time, relay, number of the run.
+    // Ends of the relays' requests: time, relay, request number.
     ends: BinaryHeap<Reverse<(u64, usize, u64)>>,
-    ended: HashMap<u64, (ServerKey, u64)>,
-    sent: u64,
+    // Open requests by number: the server, and the tokens that count there.
+    open: HashMap<u64, (ServerKey, u64)>,
+    request_count: u64,
     outcome: Outcome,
 }
 
-/// Plays the load for some seconds, with reports at intervals of so many milliseconds.
+/// Simulates the load for some seconds, with reports at the given interval in milliseconds.
 pub(crate) fn play(choice: Choice, interval: u64, seed: u64, seconds: u64) -> Outcome {
-    let mut world = World {
+    let mut simulation = Simulation {
         rng: fastrand::Rng::with_seed(seed),
         now: 0,
         choice,
@@ -134,29 +138,29 @@
         relays: (0..RELAYS).map(fleet).collect(),
         engines: (0..ENGINES).map(|_| Engine::default()).collect(),
         ends: BinaryHeap::new(),
-        ended: HashMap::new(),
-        sent: 0,
+        open: HashMap::new(),
+        request_count: 0,
         outcome: Outcome {
-            waits: Vec::new(),
-            read: vec![0; ENGINES],
+            first_events: Vec::new(),
+            prompt_tokens: vec![0; ENGINES],
         },
     };
-    while world.now < seconds * 1_000 {
-        world.now += 1;
-        world.step();
+    while simulation.now < seconds * 1_000 {
+        simulation.now += 1;
+        simulation.step();
     }
-    world.outcome
+    simulation.outcome
 }
 
-fn zone(place: usize) -> Name {
-    Name::new(format!("zone-{}", place % ZONES))
+fn zone(index: usize) -> Name {
+    Name::new(format!("zone-{}", index % ZONES))
 }
 
 fn address(engine: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, engine as u8], 8_701))
 }
 
-fn here(engine: usize) -> EngineHere {
+fn engine_here(engine: usize) -> EngineHere {
     EngineHere {
         address: address(engine),
         service: Name::new("llm"),
@@ -168,7 +172,7 @@
     site::engine_service(SLOTS, CAPACITY)
 }
 
-/// A relay of one of six availability zones, two of which are a region.
+/// The fleet as seen by a relay in one of six availability zones; each region has two zones.
 fn fleet(relay: usize) -> Fleet {
     let regions = (0..ZONES).map(|z| (zone(z), Name::new(format!("region-{}", z / 2))));
     let mut fleet = Fleet::new(Location {
@@ -189,7 +193,7 @@
     )
 }
 
-impl World {
+impl Simulation {
     fn time(&self) -> Time {
         Time::from_millis(self.now)
     }
@@ -197,15 +201,15 @@
     fn step(&mut self) {
         self.end_runs();
         for engine in 0..ENGINES {
-            self.read(engine);
-            if (self.now + engine as u64).is_multiple_of(LOOK) {
-                self.look(engine);
+            self.prefill(engine);
+            if (self.now + engine as u64).is_multiple_of(POLL_INTERVAL) {
+                self.poll(engine);
             }
         }
-        self.tell();
+        self.send_reports();
         // Prompts of 1,200 to 3,600 tokens.
         let mean = 2_400.0;
-        let rate = ENGINES as f64 * READ * BUSY / mean;
+        let rate = ENGINES as f64 * PREFILL_RATE * UTILIZATION / mean;
         let mut due = rate;
         while due > 0.0 && self.rng.f64() < due {
             due -= 1.0;
@@ -222,56 +226,57 @@
             let Some(Reverse((_, relay, number))) = self.ends.pop() else {
                 return;
             };
-            if let Some((key, tokens)) = self.ended.remove(&number) {
+            if let Some((key, tokens)) = self.open.remove(&number) {
                 self.relays[relay].record_ended(key, tokens);
             }
         }
     }
 
-    fn read(&mut self, engine: usize) {
+    fn prefill(&mut self, engine: usize) {
         let now = self.now;
-        let at = &mut self.engines[engine];
-        at.runs.retain(|_, end| *end > now);
-        while at.free <= now {
-            let Some(prompt) = at.prompts.pop_front() else {
+        let state = &mut self.engines[engine];
+        state.runs.retain(|_, end| *end > now);
+        while state.prefill_end <= now {
+            let Some(prompt) = state.prompts.pop_front() else {
                 return;
             };
-            let idle = (prompt.tokens as f64 / READ) as u64;
-            self.outcome.waits.push((now - prompt.sent, idle));
-            at.runs.insert(prompt.id, now + RUN);
+            let idle = (prompt.tokens as f64 / PREFILL_RATE) as u64;
+            self.outcome.first_events.push((now - prompt.sent_at, idle));
+            state.runs.insert(prompt.id, now + RUN_DURATION);
             self.relays[prompt.relay].record_prefill_end(prompt.key, prompt.tokens);
-            let next = at.prompts.front();
-            at.free = now + next.map_or(0, |next| (next.tokens as f64 / READ) as u64);
+            let next = state.prompts.front();
+            state.prefill_end =
+                now + next.map_or(0, |next| (next.tokens as f64 / PREFILL_RATE) as u64);
             if next.is_none() {
                 return;
             }
         }
     }
 
-    fn look(&mut self, engine: usize) {
+    fn poll(&mut self, engine: usize) {
         let now = self.time();
-        let at = &mut self.engines[engine];
-        let runs = at.runs.keys().map(|id| EngineRun {
+        let state = &mut self.engines[engine];
+        let runs = state.runs.keys().map(|id| EngineRun {
             id: id.clone(),
             tokens: 2_400,
             events: 1,
             rank: 2,
         });
         let report = EngineReport {
-            running: (at.runs.len() + at.prompts.len()) as u32,
-            reading: at.prompts.len() as u32,
+            running: (state.runs.len() + state.prompts.len()) as u32,
+            reading: state.prompts.len() as u32,
             capacity: CAPACITY,
             runs: runs.collect(),
             ..EngineReport::default()
         };
-        at.load_tracker.update(now, report);
+        state.load_tracker.update(now, report);
     }
 
     fn load(&self, engine: usize, without: Option<&Name>) -> EngineLoad {
-        let at = &self.engines[engine];
-        let forecast = at.load_tracker.forecast(self.time(), without);
+        let state = &self.engines[engine];
+        let forecast = state.load_tracker.forecast(self.time(), without);
         EngineLoad {
-            running: (at.runs.len() + at.prompts.len()) as u32,
+            running: (state.runs.len() + state.prompts.len()) as u32,
             planned: forecast.peak_tokens,
             unread: forecast.prefill_tokens,
             capacity: CAPACITY,
@@ -280,8 +285,8 @@
         }
     }
 
-    /// Each scout tells all relays once in an interval.
-    fn tell(&mut self) {
+    /// Sends the reports that are due: each scout reports to all relays once per interval.
+    fn send_reports(&mut self) {
         let now = self.time();
         for engine in 0..ENGINES {
             if !(self.now + engine as u64).is_multiple_of(self.interval) {
@@ -289,7 +294,7 @@
             }
             let load = self.load(engine, None);
             for relay in &mut self.relays {
-                relay.apply_report(now, &here(engine), &load);
+                relay.apply_report(now, &engine_here(engine), &load);
             }
         }
     }
@@ -298,13 +303,13 @@
         let relay = self.rng.usize(..RELAYS);
         let prompt = self.rng.u64(1_200..3_600);
         let service = Name::new("llm");
-        self.sent += 1;
-        let id = Name::new(format!("r-{}", self.sent));
+        self.request_count += 1;
+        let id = Name::new(format!("r-{}", self.request_count));
         let need = PlacementRequest::new(&service, prompt, prompt + 300);
         let now = self.time();
         let among = match self.choice {
             Choice::Reports => None,
-            Choice::Asking => self.ask(relay, &id, &need),
+            Choice::Asking => self.probe(relay, &id, &need),
         };
         let need = PlacementRequest {
             among: among.as_deref(),
@@ -316,33 +321,33 @@
             .expect("engines are there");
         fleet.record_sent(now, key, &need);
         let engine = fleet.record(key).expect("chosen").address;
-        let number = number(engine);
+        let index = engine_index(engine);
         let word = SentWord {
             id: id.clone(),
             engine,
             prompt,
             tokens: need.tokens,
         };
-        let at = &mut self.engines[number];
-        at.load_tracker.record_sent(now, &word);
-        if at.prompts.is_empty() {
-            at.free = self.now + (prompt as f64 / READ) as u64;
+        let state = &mut self.engines[index];
+        state.load_tracker.record_sent(now, &word);
+        if state.prompts.is_empty() {
+            state.prefill_end = self.now + (prompt as f64 / PREFILL_RATE) as u64;
         }
-        at.prompts.push_back(Prompt {
+        state.prompts.push_back(Prompt {
             id,
             relay,
             key,
             tokens: prompt,
-            sent: self.now,
+            sent_at: self.now,
         });
-        self.outcome.read[number] += prompt;
-        let end = self.now + RUN + 500;
-        self.ends.push(Reverse((end, relay, self.sent)));
-        self.ended.insert(self.sent, (key, need.tokens));
+        self.outcome.prompt_tokens[index] += prompt;
+        let end = self.now + RUN_DURATION + 500;
+        self.ends.push(Reverse((end, relay, self.request_count)));
+        self.open.insert(self.request_count, (key, need.tokens));
     }
 
-    /// Asks the scouts that the relay draws; `None` where the reports are fresh enough.
-    fn ask(
+    /// Probes the scouts that the relay draws, and returns their servers. `None` if reports arrive often enough.
+    fn probe(
         &mut self,
         relay: usize,
         id: &Name,
@@ -353,27 +358,29 @@
             return None;
         }
         let options = self.relays[relay].candidates(now, need, &spec());
-        let asked = placement::probe_targets(ProbeRound::First, &options, &mut self.rng);
-        for key in &asked {
-            let engine = self.relays[relay].record(*key).expect("asked").address;
-            let load = self.load(number(engine), Some(id));
+        let probed = placement::probe_targets(ProbeRound::First, &options, &mut self.rng);
+        for key in &probed {
+            let engine = self.relays[relay].record(*key).expect("probed").address;
+            let load = self.load(engine_index(engine), Some(id));
             let ask = LoadAsk {
                 id: id.clone(),
                 engine,
                 prompt: need.prompt,
                 tokens: need.tokens,
-                asked: asked.len() as u32,
+                asked: probed.len() as u32,
             };
-            self.engines[number(engine)].load_tracker.reserve(now, &ask);
-            self.relays[relay].apply_load_answer(now, &here(number(engine)), &load);
+            self.engines[engine_index(engine)]
+                .load_tracker
+                .reserve(now, &ask);
+            self.relays[relay].apply_load_answer(now, &engine_here(engine_index(engine)), &load);
         }
-        Some(asked)
+        Some(probed)
     }
 }
 
-fn number(engine: SocketAddr) -> usize {
+fn engine_index(engine: SocketAddr) -> usize {
     let SocketAddr::V4(address) = engine else {
-        unreachable!("all addresses here are of version 4");
+        unreachable!("all simulated addresses are IPv4");
     };
     usize::from(address.ip().octets()[3])
 }
