--- a/daemon/src/relay_role.rs
+++ b/daemon/src/relay_role.rs
@@ -11,12 +11,12 @@
 use cicada_platform::HttpEngines;
 use cicada_platform::PlatformDialect;
 use cicada_platform::StoreDirectory;
-use cicada_relay::Changing;
 use cicada_relay::DirectoryWatcher;
 use cicada_relay::Policy;
 use cicada_relay::Relay;
 use cicada_relay::RelayMetrics;
 use cicada_relay::RelaySettings;
+use cicada_relay::ReloadableSettings;
 use cicada_relay::Restrictions;
 use eyre::Context;
 use eyre::OptionExt;
@@ -75,8 +75,8 @@
     loop {
         tokio::select! {
             _ = term.recv() => break,
-            _ = hup.recv() => reload.look(true, |new| relay.set_changing(changing(new))),
-            _ = looks.tick() => reload.look(false, |new| relay.set_changing(changing(new))),
+            _ = hup.recv() => reload.look(true, |new| relay.apply_reloaded(reloadable_settings(new))),
+            _ = looks.tick() => reload.look(false, |new| relay.apply_reloaded(reloadable_settings(new))),
         }
     }
     cicada_relay::drain(relay).await;
@@ -113,14 +113,14 @@
             zone: settings.name("process", "zone"),
             regions: settings.pairs("relay", "zones").into_iter().collect(),
         },
-        changing: changing(settings),
+        reloadable: reloadable_settings(settings),
     })
 }
 
 /// The settings that take effect while a relay runs.
-fn changing(settings: &Settings) -> Changing {
-    Changing {
-        retries: RetryLimit {
+fn reloadable_settings(settings: &Settings) -> ReloadableSettings {
+    ReloadableSettings {
+        retry_limit: RetryLimit {
             ratio: settings.number("relay", "retry_ratio"),
             slack: settings.number("relay", "retry_slack"),
             window: settings.seconds("relay", "retry_window"),
--- a/relay/src/attempts.rs
+++ b/relay/src/attempts.rs
@@ -133,7 +133,7 @@
         }
         let placed = result?;
         if tokens > 0 {
-            relay.tell_sent(&placed, id);
+            relay.announce_sent(&placed, id);
         }
         Ok(placed)
     }
@@ -162,7 +162,7 @@
             Setback::Unanswered(Unanswered::Unreached) => return true,
             // The intended server is gone, so the send does not count as an attempt. It does take a
             // retry, since the request has arrived at the service once more.
-            Setback::Unanswered(Unanswered::Elsewhere) => return self.take_retry(relay, call),
+            Setback::Unanswered(Unanswered::Elsewhere) => return self.try_retry(relay, call),
             Setback::Unanswered(Unanswered::Refused) => self.refused = true,
             Setback::Unanswered(Unanswered::TimeOver) => {
                 self.ran = true;
@@ -174,12 +174,12 @@
         }
         self.sent += 1;
         let repeatable = call.is_repeatable() || !self.ran;
-        repeatable && self.sent < call.admitted.route.max_attempts && self.take_retry(relay, call)
+        repeatable && self.sent < call.admitted.route.max_attempts && self.try_retry(relay, call)
     }
 
     /// Takes one retry if the service's limit allows it, and counts the outcome.
-    fn take_retry(&self, relay: &Relay, call: &Call) -> bool {
-        let taken = relay.take_retry(&call.service, self.reserved);
+    fn try_retry(&self, relay: &Relay, call: &Call) -> bool {
+        let taken = relay.try_retry(&call.service, self.reserved);
         let reason = match (taken, self.ran) {
             (false, _) => "over_bound",
             (true, true) => "failed",
--- a/relay/src/caller_server.rs
+++ b/relay/src/caller_server.rs
@@ -42,7 +42,7 @@
 
 /// Serves callers until the relay takes no more of them.
 pub(crate) async fn serve_callers(relay: Arc<Relay>, listener: TcpListener) {
-    let mut closing = relay.closing();
+    let mut closing = relay.subscribe_stop_accepting();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -115,7 +115,7 @@
     let serving = builder.serve_connection(io, handler);
     tokio::pin!(serving);
     let mut closing = false;
-    let mut ending = relay.ending();
+    let mut ending = relay.subscribe_close_idle();
     loop {
         let due = progress.due(limits.header_timeout, limits.idle_timeout);
         let overdue = async {
--- a/relay/src/directory_watcher.rs
+++ b/relay/src/directory_watcher.rs
@@ -91,7 +91,7 @@
     pub(crate) async fn wait_after_failure(&mut self, relay: &Relay) {
         let failing_since = *self.failing_since.get_or_insert_with(Instant::now);
         if failing_since.elapsed() >= UNREACHABLE_AFTER {
-            relay.set_out_of_reach(true);
+            relay.set_directory_unreachable(true);
         }
         sleep(self.delay.mul_f64(0.5 + 0.5 * fastrand::f64())).await;
         self.delay = (self.delay * 2).min(max_backoff(relay));
@@ -166,7 +166,8 @@
                 watching = self.should_watch(watching).await;
                 // Set only after a successful call: other relays stop watching for this one, which may be
                 // rejected itself.
-                self.relay.set_fed(watching && view.revision.is_some());
+                self.relay
+                    .set_watching_directory(watching && view.revision.is_some());
                 if !watching {
                     view.revision = None;
                     continue;
@@ -175,12 +176,12 @@
             match self.next_servers(&mut view, &backoff).await {
                 Ok(()) => {
                     backoff.reset();
-                    self.relay.set_out_of_reach(false);
+                    self.relay.set_directory_unreachable(false);
                 }
                 Err(error) => {
                     tracing::info!(%error, "directory: no news of the backend servers");
                     view.revision = None;
-                    self.relay.set_fed(false);
+                    self.relay.set_watching_directory(false);
                     backoff.wait_after_failure(&self.relay).await;
                 }
             }
@@ -190,7 +191,7 @@
     /// Returns true after a pause if this relay does not watch the directory: another relay of the region
     /// does, or the directory is unreachable. The watch on the servers decides this for all watches.
     pub(crate) async fn defer_to_watching_relay(&self) -> bool {
-        if self.relay.is_fed() {
+        if self.relay.is_watching_directory() {
             return false;
         }
         sleep(PULL_INTERVAL).await;
@@ -200,7 +201,7 @@
     /// Waits until this relay no longer watches the directory, its last call failed, or the directory was
     /// restored from an older copy after `revision`.
     pub(crate) async fn wait_for_reset(&self, revision: Revision) {
-        while self.relay.is_fed() && self.relay.era() <= revision.era {
+        while self.relay.is_watching_directory() && self.relay.era() <= revision.era {
             sleep(PULL_INTERVAL).await;
         }
     }
@@ -217,7 +218,7 @@
             return true;
         }
         // The watching relay reaches the directory and passes its state on.
-        self.relay.set_out_of_reach(false);
+        self.relay.set_directory_unreachable(false);
         sleep(PULL_INTERVAL).await;
         false
     }
@@ -246,7 +247,7 @@
             revision: news.revision.with_whole(after.whole),
             ..news
         };
-        self.relay.change_servers(after, &news);
+        self.relay.apply_directory_changes(after, &news);
         view.revision = Some(news.revision);
         if view
             .relist_at
@@ -261,7 +262,7 @@
 
     async fn list_servers(&self, view: &mut ServerView, backoff: &CallBackoff) -> Result<()> {
         let listing = self.directory.servers().await?;
-        self.relay.saw(listing.revision);
+        self.relay.observe_revision(listing.revision);
         if listing.revision.era < self.relay.era() {
             return Err(DirectoryError::HistoryGone);
         }
@@ -283,7 +284,7 @@
         if whole {
             self.relay.set_servers(&listing);
         } else {
-            self.relay.add_servers(&listing);
+            self.relay.merge_servers(&listing);
             view.relist_at = Some(Instant::now() + RETURN);
         }
         view.revision = Some(listing.revision);
@@ -297,7 +298,7 @@
 
     async fn sync_peers(&self) {
         let own = self.relay.peer_record();
-        let mut eras = self.relay.eras();
+        let mut eras = self.relay.subscribe_era();
         let mut registered = false;
         loop {
             if !registered {
@@ -310,7 +311,7 @@
                     known.add_known(own.address, others);
                     known.set_list_read();
                     drop(known);
-                    self.relay.share_among_entries();
+                    self.relay.update_entry_shares();
                     PEERS_INTERVAL
                 }
                 Err(error) => {
@@ -375,12 +376,12 @@
             }
             Ok(PeerAnswer::Servers(listing)) => {
                 tracing::info!(%peer, revision = %listing.revision, "peers: pulled servers from a relay");
-                self.relay.take_listing(&listing);
+                self.relay.apply_peer_listing(&listing);
             }
             Ok(PeerAnswer::Changes(changes)) => {
                 let count = changes.changes.len();
                 tracing::debug!(%peer, count, revision = %changes.revision, "peers: pulled changes of servers from a relay");
-                self.relay.take_changes(before, &changes);
+                self.relay.apply_changes(before, &changes);
             }
             Err(error) => tracing::debug!(%peer, %error, "peers: cannot pull from a relay"),
         }
--- a/relay/src/drain.rs
+++ b/relay/src/drain.rs
@@ -34,7 +34,7 @@
     relay.set_draining();
     tracing::info!("process: draining");
     sleep(CLOSING).await;
-    relay.set_ending();
+    relay.close_idle_connections();
     sleep(NOTICE - CLOSING).await;
     let mut quiet = Instant::now();
     while Instant::now() < end {
@@ -46,7 +46,7 @@
         sleep(LOOK).await;
     }
     // What is taken now could not be answered any more; a connection that is refused goes elsewhere.
-    relay.close();
+    relay.stop_accepting();
     sleep(LAST_ANSWERS).await;
     let open = relay.open_requests();
     tracing::info!(
--- a/relay/src/engine_reports.rs
+++ b/relay/src/engine_reports.rs
@@ -40,7 +40,7 @@
         if started_leaving {
             let ScoutReport { here, load } = report;
             tracing::info!(engine = %here.address, leaves = ?load.leaves, "fleet: an engine leaves");
-            self.note_leaving();
+            self.notify_leaving();
         }
     }
 
@@ -57,7 +57,8 @@
     /// unless the directory is unreachable: otherwise the directory lists the engine together with its
     /// identifier.
     pub(crate) fn handle_announcement(&self, here: &EngineHere) -> bool {
-        if !self.is_out_of_reach() || !self.table().services().contains_key(&here.service) {
+        if !self.is_directory_unreachable() || !self.table().services().contains_key(&here.service)
+        {
             return false;
         }
         let now = self.now();
--- a/relay/src/evacuation_watcher.rs
+++ b/relay/src/evacuation_watcher.rs
@@ -68,7 +68,7 @@
     }
 
     fn apply_evacuations(&self, view: &mut EvacuationView, evacuated: EvacuatedZones) {
-        self.relay.saw(evacuated.revision);
+        self.relay.observe_revision(evacuated.revision);
         let whole = match &view.known {
             None => self.relay.is_settled(),
             Some(before) => before.revision.whole,
@@ -80,7 +80,7 @@
             revision: evacuated.revision.with_whole(whole),
             ..evacuated
         };
-        self.relay.take_evacuated(&evacuated);
+        self.relay.apply_directory_evacuations(&evacuated);
         view.known = Some(evacuated);
         if view
             .relist_at
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -47,7 +47,7 @@
 pub use relay::Relay;
 pub use relay::Restrictions;
 pub use relay_metrics::RelayMetrics;
-pub use relay_settings::Changing;
 pub use relay_settings::Policy;
 pub use relay_settings::RelaySettings;
+pub use relay_settings::ReloadableSettings;
 pub use scout::Scout;
--- a/relay/src/peer_net.rs
+++ b/relay/src/peer_net.rs
@@ -18,9 +18,9 @@
 
 use crate::datagram_socket::DatagramSocket;
 use crate::moved_runs::MoveAsk;
-use crate::relay::Pending;
+use crate::relay::QueueReceivers;
 use crate::relay::Relay;
-use crate::relay::Sent;
+use crate::relay::SentNotice;
 use crate::relay_view::EngineGroup;
 use crate::zone_probes::ZoneProbes;
 
@@ -74,8 +74,12 @@
     }
 
     /// Exchanges datagrams until the process ends.
-    pub(crate) async fn run(mut self, mut move_queries: mpsc::Receiver<MoveAsk>, pending: Pending) {
-        let Pending {
+    pub(crate) async fn run(
+        mut self,
+        mut move_queries: mpsc::Receiver<MoveAsk>,
+        pending: QueueReceivers,
+    ) {
+        let QueueReceivers {
             mut sent,
             mut ended,
             mut news,
@@ -125,7 +129,7 @@
         let total = groups.iter().map(|group| group.engines.len()).sum();
         for group in groups {
             let engines = self.engines_to_subscribe(&group, total);
-            let neighbours = match group.near && self.names_neighbours() {
+            let neighbours = match group.in_own_region && self.names_neighbours() {
                 true => group
                     .engines
                     .iter()
@@ -141,7 +145,7 @@
     /// The engines of a group whose reports this relay needs, if `total` engines are known.
     fn engines_to_subscribe(&self, group: &EngineGroup, total: usize) -> Vec<SocketAddr> {
         let mut engines = group.engines.clone();
-        if !group.near && total > MAX_SUBSCRIBED_ENGINES {
+        if !group.in_own_region && total > MAX_SUBSCRIBED_ENGINES {
             let fleet = self.relay.fleet();
             engines.retain(|engine| fleet.has_open_requests_at(*engine));
         }
@@ -184,10 +188,10 @@
     ) {
         let datagram = Datagram::Subscribe(Subscription {
             neighbours,
-            health: Some(group.health.clone()),
-            cold: Some(group.cold.as_millis() as u32),
+            health: Some(group.health_path.clone()),
+            cold: Some(group.cold_period.as_millis() as u32),
             evacuated: self.relay.evacuated(),
-            limited: group.limited.clone(),
+            limited: group.limited_engines.clone(),
         });
         let scouts = self.socket.addresses_of(engines);
         self.socket.send(&datagram, &scouts).await;
@@ -195,17 +199,17 @@
 
     async fn send_hello(&self) {
         self.relay.record_heartbeat();
-        self.relay.share_among_entries();
+        self.relay.update_entry_shares();
         let datagram = Datagram::Hello(RelayHello {
             zone: self.relay.settings().place.zone.clone(),
-            fed: self.relay.is_fed(),
+            fed: self.relay.is_watching_directory(),
             version: self.relay.version(),
             revision: self.relay.revision(),
             others: self.relay.peers().sample_heard(MAX_NAMED_RELAYS),
             evacuated: self.relay.evacuated(),
             limits: self.relay.limit_reports(),
         });
-        if self.relay.is_fed() {
+        if self.relay.is_watching_directory() {
             self.send_to_region(&datagram).await;
         }
         self.gossip(&datagram).await;
@@ -214,7 +218,7 @@
     /// Announces to the relays of the zone which callers this one has rejected: they may retry there.
     async fn send_rejections(&self) {
         let now = self.relay.now();
-        let returns = self.relay.returns().take_unsent(now);
+        let returns = self.relay.recent_rejections().take_unsent(now);
         if !returns.is_empty() {
             self.send_to_zone(&Datagram::TurnedAway(returns)).await;
         }
@@ -230,7 +234,7 @@
         let peers = self
             .relay
             .peers()
-            .recently_heard_in(|zone| self.relay.is_near(zone));
+            .recently_heard_in(|zone| self.relay.is_in_own_region(zone));
         self.socket.send(datagram, &peers).await;
     }
 
@@ -245,13 +249,15 @@
         self.send_hello().await;
     }
 
-    async fn send_request_notice(&self, Sent { word, widely }: Sent) {
-        let mut recipients = match widely {
+    async fn send_request_notice(&self, SentNotice { message, to_relays }: SentNotice) {
+        let mut recipients = match to_relays {
             true => self.relay.peers().request_notice_targets(),
             false => Vec::new(),
         };
-        recipients.push(self.socket.address_on(word.engine.ip()));
-        self.socket.send(&Datagram::Sent(word), &recipients).await;
+        recipients.push(self.socket.address_on(message.engine.ip()));
+        self.socket
+            .send(&Datagram::Sent(message), &recipients)
+            .await;
     }
 
     async fn send_load_probes(&self, probes: Vec<LoadAsk>) {
@@ -308,14 +314,14 @@
                 self.relay.prepare_move(&moving);
             }
             Ok(Datagram::Moved(moved)) if moved.source.ip() == from.ip() => {
-                self.relay.note_moved(moved);
+                self.relay.record_moved_run(moved);
             }
             Ok(Datagram::TurnedAway(returns)) => {
                 let now = self.relay.now();
-                self.relay.returns().merge(now, &returns);
+                self.relay.recent_rejections().merge(now, &returns);
             }
-            Ok(Datagram::News(news)) => self.relay.news(&news),
-            Ok(Datagram::Sent(notice)) => self.relay.sent_elsewhere(&notice),
+            Ok(Datagram::News(news)) => self.relay.handle_server_news(&news),
+            Ok(Datagram::Sent(notice)) => self.relay.record_sent_elsewhere(&notice),
             Ok(Datagram::Here(here)) if here.address.ip() == from.ip() => {
                 self.relay.handle_announcement(&here);
                 return Some(Datagram::HerePassedOn(here));
--- a/relay/src/placed.rs
+++ b/relay/src/placed.rs
@@ -129,7 +129,7 @@
 
     fn report_outcome(&self, success: bool) {
         if self.tokens > 0 {
-            self.relay.tell_ended(self.record.address, success);
+            self.relay.report_outcome(self.record.address, success);
         }
     }
 
--- a/relay/src/relay.rs
+++ b/relay/src/relay.rs
@@ -43,26 +43,26 @@
 use crate::peer_pull;
 use crate::peers::Peers;
 use crate::relay_metrics::RelayMetrics;
-use crate::relay_settings::Changing;
 use crate::relay_settings::Policy;
 use crate::relay_settings::RelaySettings;
+use crate::relay_settings::ReloadableSettings;
 
 /// Capacity of each queue of messages to other processes.
 const MESSAGE_QUEUE_LEN: usize = 256;
 
 /// Receiving ends of the queues of messages to other processes.
-pub(crate) struct Pending {
-    pub(crate) sent: mpsc::Receiver<Sent>,
+pub(crate) struct QueueReceivers {
+    pub(crate) sent: mpsc::Receiver<SentNotice>,
     pub(crate) ended: mpsc::Receiver<RunEnded>,
     pub(crate) news: mpsc::Receiver<ServerNews>,
     pub(crate) asks: mpsc::Receiver<Vec<LoadAsk>>,
 }
 
 /// A request that was sent to an engine, to be announced to other processes.
-pub(crate) struct Sent {
-    pub(crate) word: SentWord,
+pub(crate) struct SentNotice {
+    pub(crate) message: SentWord,
     // Whether other relays are told, or only the engine's scout.
-    pub(crate) widely: bool,
+    pub(crate) to_relays: bool,
 }
 
 /// Counts of what restricts the choice of backend servers, for the status page.
@@ -81,7 +81,7 @@
 /// An entry: routes callers' requests to backend servers and relays the answers.
 pub struct Relay {
     pub(crate) settings: RelaySettings,
-    pub(crate) changing: ArcSwap<Changing>,
+    pub(crate) reloadable: ArcSwap<ReloadableSettings>,
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) engines: Arc<dyn EngineCalls>,
     pub(crate) metrics: RelayMetrics,
@@ -89,41 +89,41 @@
     pub(crate) freeze_detector: Mutex<FreezeDetector>,
     pub(crate) table: ArcSwap<RouteTable>,
     pub(crate) fleet: Mutex<Fleet>,
-    pub(crate) retries: Mutex<HashMap<Name, RetryWindow>>,
-    pub(crate) comebacks: Mutex<RetryPacer>,
-    pub(crate) returns: Mutex<RecentRejections>,
+    pub(crate) retry_windows: Mutex<HashMap<Name, RetryWindow>>,
+    pub(crate) retry_pacer: Mutex<RetryPacer>,
+    pub(crate) recent_rejections: Mutex<RecentRejections>,
     // Recent use of each service by each workspace.
-    pub(crate) used: Mutex<HashMap<Name, WorkspaceUsage>>,
+    pub(crate) workspace_usage: Mutex<HashMap<Name, WorkspaceUsage>>,
     // Whether a list of servers has been received.
-    pub(crate) listed: AtomicBool,
+    pub(crate) has_server_list: AtomicBool,
     // Whether calls to the directory fail, and whether this relay watches it successfully.
-    pub(crate) out_of_reach: AtomicBool,
-    pub(crate) fed: AtomicBool,
+    pub(crate) directory_unreachable: AtomicBool,
+    pub(crate) watching_directory: AtomicBool,
     // When the drain began, if it has.
     pub(crate) draining: Mutex<Option<Instant>>,
     // Incremented when the list of servers, or what is known of servers that leave, changes.
-    pub(crate) leaving: watch::Sender<u64>,
-    pub(crate) moved: MovedRuns,
+    pub(crate) leaving_changes: watch::Sender<u64>,
+    pub(crate) moved_runs: MovedRuns,
     pub(crate) peers: Mutex<Peers>,
-    // Queues of messages to other processes. `pending` has the receiving ends until the sending task takes them.
-    pub(crate) sent: mpsc::Sender<Sent>,
-    pub(crate) ended: mpsc::Sender<RunEnded>,
-    pub(crate) news: mpsc::Sender<ServerNews>,
+    // Queues of messages to other processes. `receivers` has the receiving ends until the sending task takes them.
+    pub(crate) sent_queue: mpsc::Sender<SentNotice>,
+    pub(crate) ended_queue: mpsc::Sender<RunEnded>,
+    pub(crate) server_news_queue: mpsc::Sender<ServerNews>,
     pub(crate) load_probes: LoadProbes,
     // Notified when the list of servers has changed, so that there may be new engines.
-    pub(crate) joined: Notify,
+    pub(crate) servers_changed: Notify,
     // Notified when other relays should get a `Hello` without delay.
     pub(crate) hello_due: Notify,
-    pub(crate) pending: Mutex<Option<Pending>>,
+    pub(crate) receivers: Mutex<Option<QueueReceivers>>,
     pub(crate) revision: Mutex<Revision>,
     // Changes when the directory was restored from an older copy of itself.
     pub(crate) era: watch::Sender<SeenEra>,
     // Recent changes of the list of servers, for relays that missed some.
-    pub(crate) changes: Mutex<ChangeLog>,
+    pub(crate) change_log: Mutex<ChangeLog>,
     // Set when idle connections are to be closed.
-    pub(crate) ending: watch::Sender<bool>,
+    pub(crate) close_idle: watch::Sender<bool>,
     // Set when no more connections are accepted.
-    pub(crate) closing: watch::Sender<bool>,
+    pub(crate) stop_accepting: watch::Sender<bool>,
 }
 
 impl Relay {
@@ -134,26 +134,26 @@
         engines: Arc<dyn EngineCalls>,
         metrics: RelayMetrics,
     ) -> Arc<Self> {
-        let (sent, sent_receiver) = mpsc::channel(MESSAGE_QUEUE_LEN);
-        let (ended, ended_receiver) = mpsc::channel(MESSAGE_QUEUE_LEN);
-        let (news, news_receiver) = mpsc::channel(MESSAGE_QUEUE_LEN);
+        let (sent_queue, sent_receiver) = mpsc::channel(MESSAGE_QUEUE_LEN);
+        let (ended_queue, ended_receiver) = mpsc::channel(MESSAGE_QUEUE_LEN);
+        let (server_news_queue, news_receiver) = mpsc::channel(MESSAGE_QUEUE_LEN);
         let (load_probes, asks_receiver) = LoadProbes::new();
         let clock = Clock::new();
-        let pending = Pending {
+        let receivers = QueueReceivers {
             sent: sent_receiver,
             ended: ended_receiver,
             news: news_receiver,
             asks: asks_receiver,
         };
         Arc::new(Relay {
-            sent,
-            ended,
-            news,
+            sent_queue,
+            ended_queue,
+            server_news_queue,
             load_probes,
-            joined: Notify::new(),
+            servers_changed: Notify::new(),
             hello_due: Notify::new(),
-            pending: Mutex::new(Some(pending)),
-            changing: ArcSwap::from_pointee(settings.changing),
+            receivers: Mutex::new(Some(receivers)),
+            reloadable: ArcSwap::from_pointee(settings.reloadable),
             fleet: Mutex::new(Fleet::new(settings.place.clone())),
             settings,
             dialect,
@@ -162,22 +162,22 @@
             clock,
             freeze_detector: Mutex::new(FreezeDetector::new(clock.now())),
             table: ArcSwap::default(),
-            retries: Mutex::default(),
-            comebacks: Mutex::default(),
-            returns: Mutex::default(),
-            used: Mutex::default(),
-            listed: AtomicBool::new(false),
-            out_of_reach: AtomicBool::new(false),
-            fed: AtomicBool::new(false),
+            retry_windows: Mutex::default(),
+            retry_pacer: Mutex::default(),
+            recent_rejections: Mutex::default(),
+            workspace_usage: Mutex::default(),
+            has_server_list: AtomicBool::new(false),
+            directory_unreachable: AtomicBool::new(false),
+            watching_directory: AtomicBool::new(false),
             draining: Mutex::new(None),
-            leaving: watch::Sender::new(0),
-            moved: MovedRuns::new(),
+            leaving_changes: watch::Sender::new(0),
+            moved_runs: MovedRuns::new(),
             peers: Mutex::default(),
             revision: Mutex::default(),
             era: watch::Sender::new(SeenEra::default()),
-            changes: Mutex::default(),
-            ending: watch::Sender::new(false),
-            closing: watch::Sender::new(false),
+            change_log: Mutex::default(),
+            close_idle: watch::Sender::new(false),
+            stop_accepting: watch::Sender::new(false),
         })
     }
 
@@ -188,9 +188,9 @@
         let pulls = caller_server::listen(self.settings.peer)?;
         tokio::spawn(peer_pull::serve(self.clone(), pulls));
         let peers = PeerNet::bind(self.clone(), self.settings.peer).await?;
-        let pending = lock(&self.pending).take();
-        if let (Some(asks), Some(pending)) = (self.moved.take_asks(), pending) {
-            tokio::spawn(peers.run(asks, pending));
+        let receivers = lock(&self.receivers).take();
+        if let (Some(asks), Some(receivers)) = (self.moved_runs.take_asks(), receivers) {
+            tokio::spawn(peers.run(asks, receivers));
         }
         let callers = caller_server::listen(self.settings.listen)?;
         let ready = caller_server::listen(self.settings.ready)?;
@@ -200,8 +200,8 @@
     }
 
     /// Records that a scout moved a run.
-    pub(crate) fn note_moved(&self, moved: MovedRun) {
-        self.moved.note(moved);
+    pub(crate) fn record_moved_run(&self, moved: MovedRun) {
+        self.moved_runs.note(moved);
     }
 
     /// Opens a connection to the target engine of a run that a scout is about to move, if its stream is here.
@@ -212,33 +212,33 @@
         let record = key.and_then(|key| fleet.record(key));
         let round_trip = record.map_or(Duration::ZERO, |r| fleet.round_trip(now, &r.zone));
         drop(fleet);
-        self.moved.prepare(moving, round_trip);
+        self.moved_runs.prepare(moving, round_trip);
     }
 
-    pub(crate) fn moved(&self) -> &MovedRuns {
-        &self.moved
+    pub(crate) fn moved_runs(&self) -> &MovedRuns {
+        &self.moved_runs
     }
 
     /// Applies changed settings. If the retry limit changes, the requests and retries counted so far are discarded.
-    pub fn set_changing(&self, changing: Changing) {
-        let before = self.changing.swap(Arc::new(changing));
-        if before.retries != changing.retries {
-            let mut windows = lock(&self.retries);
+    pub fn apply_reloaded(&self, reloadable: ReloadableSettings) {
+        let before = self.reloadable.swap(Arc::new(reloadable));
+        if before.retry_limit != reloadable.retry_limit {
+            let mut windows = lock(&self.retry_windows);
             windows.clear();
         }
     }
 
-    pub(crate) fn changing(&self) -> Changing {
-        **self.changing.load()
+    pub(crate) fn reloadable(&self) -> ReloadableSettings {
+        **self.reloadable.load()
     }
 
     pub(crate) fn policy(&self) -> Policy {
-        self.changing().policy
+        self.reloadable().policy
     }
 
     /// The time from SIGTERM until the process is killed.
     pub(crate) fn grace(&self) -> Duration {
-        self.changing().grace
+        self.reloadable().grace
     }
 
     /// Counts what currently restricts the choice of servers.
@@ -262,7 +262,8 @@
 
     /// Whether the entry takes new connections: it has a configuration and a list of servers, and does not drain.
     pub fn is_ready(&self) -> bool {
-        let has_state = self.table.load().has_config() && self.listed.load(Ordering::Relaxed);
+        let has_state =
+            self.table.load().has_config() && self.has_server_list.load(Ordering::Relaxed);
         has_state && !self.is_draining()
     }
 
@@ -328,28 +329,28 @@
         self.metrics.open_requests().get()
     }
 
-    pub(crate) fn set_ending(&self) {
-        self.ending.send_replace(true);
+    pub(crate) fn close_idle_connections(&self) {
+        self.close_idle.send_replace(true);
     }
 
-    pub(crate) fn close(&self) {
-        self.closing.send_replace(true);
+    pub(crate) fn stop_accepting(&self) {
+        self.stop_accepting.send_replace(true);
     }
 
-    pub(crate) fn closing(&self) -> watch::Receiver<bool> {
-        self.closing.subscribe()
+    pub(crate) fn subscribe_stop_accepting(&self) -> watch::Receiver<bool> {
+        self.stop_accepting.subscribe()
     }
 
-    pub(crate) fn ending(&self) -> watch::Receiver<bool> {
-        self.ending.subscribe()
+    pub(crate) fn subscribe_close_idle(&self) -> watch::Receiver<bool> {
+        self.close_idle.subscribe()
     }
 
-    pub(crate) fn leaving(&self) -> watch::Receiver<u64> {
-        self.leaving.subscribe()
+    pub(crate) fn subscribe_leaving(&self) -> watch::Receiver<u64> {
+        self.leaving_changes.subscribe()
     }
 
     /// Notifies running streams that the list of servers, or what is known of servers that leave, has changed.
-    pub(crate) fn note_leaving(&self) {
-        self.leaving.send_modify(|count| *count += 1);
+    pub(crate) fn notify_leaving(&self) {
+        self.leaving_changes.send_modify(|count| *count += 1);
     }
 }
--- a/relay/src/relay_places.rs
+++ b/relay/src/relay_places.rs
@@ -24,7 +24,7 @@
 use crate::placed::Basis;
 use crate::placed::Placed;
 use crate::relay::Relay;
-use crate::relay::Sent;
+use crate::relay::SentNotice;
 
 impl Relay {
     /// Chooses a server and counts the request as sent there. If `asking` is given, the request is subject to admission
@@ -55,7 +55,7 @@
             ..Basis::default()
         };
         if let Some(asking) = asking {
-            lock(&self.comebacks).record_admission(now, need.service, asking.rank);
+            lock(&self.retry_pacer).record_admission(now, need.service, asking.rank);
         }
         fleet.record_sent(now, key, need);
         let basis = Basis {
@@ -67,42 +67,43 @@
     }
 
     /// Recently rejected requests. The lock is held for microseconds.
-    pub(crate) fn returns(&self) -> MutexGuard<'_, RecentRejections> {
-        lock(&self.returns)
+    pub(crate) fn recent_rejections(&self) -> MutexGuard<'_, RecentRejections> {
+        lock(&self.recent_rejections)
     }
 
     /// Whether the workspace recently used more than its share of the service.
-    pub(crate) fn is_over(&self, service: &Name, workspace: Option<&Name>) -> bool {
+    pub(crate) fn is_over_share(&self, service: &Name, workspace: Option<&Name>) -> bool {
         let (Some(workspace), true) = (workspace, self.policy().shares) else {
             return false;
         };
         let now = self.now();
-        let mut used = lock(&self.used);
-        used.get_mut(service)
-            .is_some_and(|used| used.is_over_share(now, workspace))
+        let mut usage = lock(&self.workspace_usage);
+        usage
+            .get_mut(service)
+            .is_some_and(|usage| usage.is_over_share(now, workspace))
     }
 
     /// Records that a stream of the workspace was admitted that is expected to hold this many tokens.
-    pub(crate) fn note_taken(&self, service: &Name, workspace: Option<&Name>, tokens: u64) {
+    pub(crate) fn record_usage(&self, service: &Name, workspace: Option<&Name>, tokens: u64) {
         let Some(workspace) = workspace else {
             return;
         };
         let now = self.now();
-        let mut used = lock(&self.used);
-        let used = used.entry(service.clone()).or_default();
-        used.record(now, workspace, tokens);
+        let mut usage = lock(&self.workspace_usage);
+        let usage = usage.entry(service.clone()).or_default();
+        usage.record(now, workspace, tokens);
     }
 
     /// How long a rejected caller waits before it retries.
-    pub(crate) fn comeback(
+    pub(crate) fn retry_delay(
         &self,
         service: &Name,
         asking: &AdmissionRequest,
         left: Duration,
     ) -> Duration {
         let now = self.now();
-        let mut comebacks = lock(&self.comebacks);
-        comebacks.retry_delay(now, service, asking, left, fastrand::f64())
+        let mut retry_pacer = lock(&self.retry_pacer);
+        retry_pacer.retry_delay(now, service, asking, left, fastrand::f64())
     }
 
     /// Counts a request for the service, which raises the service's retry limit.
@@ -113,7 +114,7 @@
 
     /// Takes one retry for the service if the limit that all entries share allows it. `reserved`, from 0 to 1, is the
     /// share of the limit to leave to other retries.
-    pub(crate) fn take_retry(&self, service: &Name, reserved: f64) -> bool {
+    pub(crate) fn try_retry(&self, service: &Name, reserved: f64) -> bool {
         let now = self.now();
         let entries = self.fleet().entry_shares().count();
         self.with_retry_window(service, |window| window.try_retry(now, entries, reserved))
@@ -124,11 +125,11 @@
         service: &Name,
         action: impl FnOnce(&mut RetryWindow) -> T,
     ) -> T {
-        let mut windows = lock(&self.retries);
-        let bound = self.changing().retries;
+        let mut windows = lock(&self.retry_windows);
+        let limit = self.reloadable().retry_limit;
         let window = windows
             .entry(service.clone())
-            .or_insert_with(|| RetryWindow::new(bound));
+            .or_insert_with(|| RetryWindow::new(limit));
         action(window)
     }
 
@@ -152,9 +153,9 @@
 
     /// Announces a request that was sent to an engine to the engine's scout and to other relays, ahead of the engine's
     /// next load report.
-    pub(crate) fn tell_sent(&self, placed: &Placed, id: Option<&Name>) {
+    pub(crate) fn announce_sent(&self, placed: &Placed, id: Option<&Name>) {
         let engine = placed.record.address;
-        let Some(word) = id.map(|id| placed.word(id)) else {
+        let Some(message) = id.map(|id| placed.word(id)) else {
             return;
         };
         // If reports arrive too seldom to choose by, the other relays probe the scout, which counts this request.
@@ -163,24 +164,28 @@
         let fleet = self.fleet();
         let sparse = probes && fleet.reports_too_sparse(self.now(), service, &ANY_REGION);
         drop(fleet);
-        let sent = Sent {
-            word,
-            widely: !sparse,
+        let sent = SentNotice {
+            message,
+            to_relays: !sparse,
         };
-        if self.sent.try_send(sent).is_err() {
+        if self.sent_queue.try_send(sent).is_err() {
             tracing::debug!(%engine, "peers: too many words wait, one is left out");
         }
     }
 
     /// Tells the engine's scout whether a request succeeded there.
-    pub(crate) fn tell_ended(&self, engine: SocketAddr, well: bool) {
-        if self.ended.try_send(RunEnded { engine, well }).is_err() {
+    pub(crate) fn report_outcome(&self, engine: SocketAddr, well: bool) {
+        if self
+            .ended_queue
+            .try_send(RunEnded { engine, well })
+            .is_err()
+        {
             tracing::debug!(%engine, "peers: too many words wait, one is left out");
         }
     }
 
     /// Records a request that another relay sent to an engine.
-    pub(crate) fn sent_elsewhere(&self, word: &SentWord) {
+    pub(crate) fn record_sent_elsewhere(&self, word: &SentWord) {
         let now = self.now();
         let mut fleet = self.fleet();
         fleet.record_sent_elsewhere(now, word.engine, word.prompt, word.tokens);
--- a/relay/src/relay_settings.rs
+++ b/relay/src/relay_settings.rs
@@ -23,14 +23,14 @@
     /// The entry's availability zone, and the region of each zone.
     pub place: Location,
     /// Settings that may change while the relay runs.
-    pub changing: Changing,
+    pub reloadable: ReloadableSettings,
 }
 
 /// Settings that take effect without a restart.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Changing {
+pub struct ReloadableSettings {
     /// The limit on retries, for all entries together.
-    pub retries: RetryLimit,
+    pub retry_limit: RetryLimit,
     /// The time from SIGTERM until the process is killed.
     pub grace: Duration,
     /// Optional behaviours.
--- a/relay/src/relay_view.rs
+++ b/relay/src/relay_view.rs
@@ -32,13 +32,13 @@
 pub(crate) struct EngineGroup {
     pub(crate) engines: Vec<SocketAddr>,
     // Whether the group is in this relay's own region.
-    pub(crate) near: bool,
+    pub(crate) in_own_region: bool,
     // The path at which the engines report their identifiers.
-    pub(crate) health: Name,
+    pub(crate) health_path: Name,
     // How long the engines are cold after a start.
-    pub(crate) cold: Duration,
+    pub(crate) cold_period: Duration,
     // Engines of the service, in any region, that state a request rate limit.
-    pub(crate) limited: Vec<SocketAddr>,
+    pub(crate) limited_engines: Vec<SocketAddr>,
 }
 
 impl Relay {
@@ -66,22 +66,22 @@
 
     /// Replaces the list of backend servers with a complete one.
     pub fn set_servers(&self, listing: &ServerListing) {
-        self.saw(listing.revision);
+        self.observe_revision(listing.revision);
         self.fleet().replace_servers(self.now(), &listing.servers);
-        lock(&self.changes).clear();
-        self.listed_at(listing.revision);
+        lock(&self.change_log).clear();
+        self.record_revision(listing.revision);
     }
 
     /// Merges a list of backend servers that may be incomplete: servers that it lacks stay.
-    pub fn add_servers(&self, listing: &ServerListing) {
-        self.saw(listing.revision);
+    pub fn merge_servers(&self, listing: &ServerListing) {
+        self.observe_revision(listing.revision);
         self.fleet().merge_servers(self.now(), &listing.servers);
-        lock(&self.changes).clear();
-        self.listed_at(listing.revision);
+        lock(&self.change_log).clear();
+        self.record_revision(listing.revision);
     }
 
     /// Applies the list that another relay sent, unless it is older than the known one.
-    pub(crate) fn take_listing(&self, listing: &ServerListing) {
+    pub(crate) fn apply_peer_listing(&self, listing: &ServerListing) {
         let (revision, known) = (listing.revision, self.revision());
         if revision < known {
             tracing::info!(%revision, %known, "directory: a list of servers passed over");
@@ -89,40 +89,40 @@
         }
         match revision.whole {
             true => self.set_servers(listing),
-            false => self.add_servers(listing),
+            false => self.merge_servers(listing),
         }
     }
 
     /// Applies changes of the list that the directory reported, and passes them on to other relays.
-    pub fn change_servers(&self, after: Revision, news: &ServerChanges) {
+    pub fn apply_directory_changes(&self, after: Revision, news: &ServerChanges) {
         if !news.changes.is_empty() {
             let message = ServerNews {
                 after,
                 changes: news.clone(),
             };
-            if self.news.try_send(message).is_err() {
+            if self.server_news_queue.try_send(message).is_err() {
                 tracing::debug!(
                     "peers: the queue of server changes is full; other relays will pull them"
                 );
             }
         }
-        self.take_changes(after, news);
+        self.apply_changes(after, news);
     }
 
     /// Applies changes that another relay reports, if none between them and the known revision are missing.
-    pub(crate) fn news(&self, news: &ServerNews) {
+    pub(crate) fn handle_server_news(&self, news: &ServerNews) {
         if self.revision() >= news.after {
-            self.take_changes(news.after, &news.changes);
+            self.apply_changes(news.after, &news.changes);
         }
     }
 
     /// The changes of the list after the revision, if the log reaches back that far.
     pub(crate) fn changes_since(&self, revision: Revision) -> Option<ServerChanges> {
-        lock(&self.changes).since(revision)
+        lock(&self.change_log).since(revision)
     }
 
     /// Applies changes that follow on the revision `after`, unless later ones are known already.
-    pub(crate) fn take_changes(&self, after: Revision, news: &ServerChanges) {
+    pub(crate) fn apply_changes(&self, after: Revision, news: &ServerChanges) {
         // Another relay may have reported these changes and later ones before.
         let known = self.revision();
         if news.revision < known {
@@ -130,15 +130,15 @@
             tracing::info!(changes, %revision, %known, "directory: changes of servers passed over");
             return;
         }
-        self.saw(news.revision);
+        self.observe_revision(news.revision);
         let now = self.now();
         let mut fleet = self.fleet();
         for change in &news.changes {
             fleet.apply_change(now, change);
         }
         drop(fleet);
-        lock(&self.changes).push(after, news);
-        self.listed_at(news.revision);
+        lock(&self.change_log).push(after, news);
+        self.record_revision(news.revision);
     }
 
     /// The revision up to which the list of backend servers is known.
@@ -148,7 +148,7 @@
 
     /// Records that this relay or another one read the directory at the revision, and detects whether the directory was
     /// restored from an older copy.
-    pub(crate) fn saw(&self, revision: Revision) {
+    pub(crate) fn observe_revision(&self, revision: Revision) {
         let now = self.now();
         let mut rolled_back = false;
         self.era.send_if_modified(|seen| {
@@ -172,7 +172,7 @@
     }
 
     /// Subscribes to restores of the directory from an older copy.
-    pub(crate) fn eras(&self) -> watch::Receiver<SeenEra> {
+    pub(crate) fn subscribe_era(&self) -> watch::Receiver<SeenEra> {
         self.era.subscribe()
     }
 
@@ -186,24 +186,24 @@
     }
 
     /// Records up to which revision the list is known, and notifies whoever follows it.
-    fn listed_at(&self, revision: Revision) {
+    fn record_revision(&self, revision: Revision) {
         let mut known = lock(&self.revision);
         *known = revision.max(*known);
         drop(known);
-        self.listed.store(true, Ordering::Relaxed);
-        self.note_leaving();
-        self.joined.notify_one();
+        self.has_server_list.store(true, Ordering::Relaxed);
+        self.notify_leaving();
+        self.servers_changed.notify_one();
     }
 
     /// Whether this relay may watch the directory on behalf of its region. `watching` tells whether it does so now.
     pub(crate) fn may_watch(&self, watching: bool) -> bool {
         let own = self.settings.peer;
         self.peers()
-            .may_watch(own, watching, |zone| self.is_near(zone))
+            .may_watch(own, watching, |zone| self.is_in_own_region(zone))
     }
 
     /// Whether the availability zone is in this relay's region.
-    pub(crate) fn is_near(&self, zone: &Name) -> bool {
+    pub(crate) fn is_in_own_region(&self, zone: &Name) -> bool {
         let place = &self.settings.place;
         place.region_of(zone) == place.region_of(&place.zone)
     }
@@ -216,7 +216,7 @@
     /// Number of relays in this region that were recently heard from, including this one.
     pub(crate) fn relays_in_region(&self) -> usize {
         let peers = self.peers();
-        1 + peers.count_recently_heard(|zone| self.is_near(zone))
+        1 + peers.count_recently_heard(|zone| self.is_in_own_region(zone))
     }
 
     /// The evacuated availability zones.
@@ -246,7 +246,7 @@
     }
 
     /// Updates the set of relays that share the capacity of the backend servers, if it has changed.
-    pub(crate) fn share_among_entries(&self) {
+    pub(crate) fn update_entry_shares(&self) {
         let others = self.peers().take_changed_peers();
         if let Some(others) = others {
             self.fleet().set_entries(self.settings.peer, others);
@@ -264,27 +264,28 @@
     }
 
     /// Whether calls to the directory have failed for long enough to count it as unreachable.
-    pub(crate) fn is_out_of_reach(&self) -> bool {
-        self.out_of_reach.load(Ordering::Relaxed)
+    pub(crate) fn is_directory_unreachable(&self) -> bool {
+        self.directory_unreachable.load(Ordering::Relaxed)
     }
 
     /// Whether this relay watches the directory successfully.
-    pub(crate) fn is_fed(&self) -> bool {
-        self.fed.load(Ordering::Relaxed) && !self.is_out_of_reach()
+    pub(crate) fn is_watching_directory(&self) -> bool {
+        self.watching_directory.load(Ordering::Relaxed) && !self.is_directory_unreachable()
     }
 
     /// Records whether this relay watches the directory and its last call succeeded. If that becomes true, other relays
     /// are told at once.
-    pub(crate) fn set_fed(&self, fed: bool) {
-        let before = self.fed.swap(fed, Ordering::Relaxed);
-        if fed && !before {
+    pub(crate) fn set_watching_directory(&self, watching: bool) {
+        let before = self.watching_directory.swap(watching, Ordering::Relaxed);
+        if watching && !before {
             self.hello_due.notify_one();
         }
     }
 
     /// Records whether the directory is unreachable.
-    pub(crate) fn set_out_of_reach(&self, out: bool) {
-        self.out_of_reach.store(out, Ordering::Relaxed);
+    pub(crate) fn set_directory_unreachable(&self, unreachable: bool) {
+        self.directory_unreachable
+            .store(unreachable, Ordering::Relaxed);
     }
 
     /// The engines, grouped by service and region. Runs can be moved between the engines of a group.
@@ -305,10 +306,10 @@
             let key = (server.service.clone(), region.clone());
             let group = groups.entry(key).or_insert_with(|| EngineGroup {
                 engines: Vec::new(),
-                near: region == own,
-                health: spec.health_path.clone(),
-                cold: spec.cold.period,
-                limited: fleet
+                in_own_region: region == own,
+                health_path: spec.health_path.clone(),
+                cold_period: spec.cold.period,
+                limited_engines: fleet
                     .limited_addresses(&server.service)
                     .take(MAX_LIMITED_ENGINES)
                     .collect(),
@@ -324,7 +325,7 @@
     }
 
     /// Applies the evacuations that the directory reports. If they changed, other relays are told at once.
-    pub fn take_evacuated(&self, evacuated: &EvacuatedZones) {
+    pub fn apply_directory_evacuations(&self, evacuated: &EvacuatedZones) {
         if self.set_evacuated(evacuated) {
             self.hello_due.notify_one();
         }
@@ -332,6 +333,6 @@
 
     /// Waits until there may be new engines.
     pub(crate) async fn engines_joined(&self) {
-        self.joined.notified().await;
+        self.servers_changed.notified().await;
     }
 }
--- a/relay/src/run_moves.rs
+++ b/relay/src/run_moves.rs
@@ -83,7 +83,8 @@
                 let Ok(target) = self.relay.place(&need, &self.call.spec, None) else {
                     return;
                 };
-                self.relay.tell_sent(&target, self.call.head.id.as_ref());
+                self.relay
+                    .announce_sent(&target, self.call.head.id.as_ref());
                 target
             }
         };
@@ -209,7 +210,7 @@
     fn memory(&self, from: SocketAddr, handle: &Name) -> Begin {
         // Counted against the service's bound like any other further send, but never held back: the
         // run would be lost, and its caller would send the whole again.
-        if !self.relay.take_retry(&self.call.service, 0.0) {
+        if !self.relay.try_retry(&self.call.service, 0.0) {
             self.relay.metrics().count_retry("move_over_bound");
         }
         Begin::Moved {
@@ -247,7 +248,7 @@
             return false;
         };
         let engine = self.placed.record.address;
-        let Some(moved) = self.relay.moved().wait(&id, engine).await else {
+        let Some(moved) = self.relay.moved_runs().wait(&id, engine).await else {
             return false;
         };
         tracing::info!(id = self.call.id(), from = %engine, to = ?moved.target, "move: the run goes on elsewhere");
@@ -271,7 +272,7 @@
             placed
         });
         if let Some(target) = &target {
-            self.relay.tell_sent(target, self.call.head.id.as_ref());
+            self.relay.announce_sent(target, self.call.head.id.as_ref());
         }
         match target {
             Some(target) => self.resume(target, &handle).await,
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -77,7 +77,7 @@
         let judged = relay.policy().refuse.then_some(&asking);
         let placed = match attempts.place(relay, &call, tokens, judged).await {
             Ok(placed) => {
-                relay.note_taken(&call.service, call.admitted.workspace.as_ref(), tokens);
+                relay.record_usage(&call.service, call.admitted.workspace.as_ref(), tokens);
                 placed
             }
             Err(AdmissionError::Rejected(turned)) if attempts.sent() == 0 => {
@@ -141,7 +141,7 @@
     AdmissionRequest {
         rank: relay.table().count_higher_priorities(&call.service, route),
         age: age(relay, call),
-        over_share: relay.is_over(&call.service, call.admitted.workspace.as_ref()),
+        over_share: relay.is_over_share(&call.service, call.admitted.workspace.as_ref()),
         objective: route.objective,
     }
 }
@@ -149,7 +149,9 @@
 /// How long ago the caller first asked, where it was refused and is back; zero for others.
 fn age(relay: &Relay, call: &Call) -> Duration {
     match relay.policy().returns {
-        true => relay.returns().take(relay.now(), call.fingerprint()),
+        true => relay
+            .recent_rejections()
+            .take(relay.now(), call.fingerprint()),
         false => Duration::ZERO,
     }
 }
@@ -161,10 +163,10 @@
     asking: &AdmissionRequest,
     turned: &stream_admission::Rejection,
 ) -> Response<AnswerBody> {
-    let pause = relay.comeback(&call.service, asking, call.left());
+    let pause = relay.retry_delay(&call.service, asking, call.left());
     let now = relay.now();
     relay
-        .returns()
+        .recent_rejections()
         .record(now, call.fingerprint(), asking.age, pause);
     let (why, expected_load) = (turned.bottleneck.name(), &turned.expected_load);
     let (_, age) = relay.fleet().memory_use(relay.now(), turned.server);
@@ -276,7 +278,7 @@
     begin: Begin,
 ) -> Result<Answered, Unanswered> {
     let ahead = match (&begin, &call.head.id) {
-        (Begin::Moved { .. }, Some(id)) => relay.moved().prepared(id, placed.record.address),
+        (Begin::Moved { .. }, Some(id)) => relay.moved_runs().prepared(id, placed.record.address),
         _ => None,
     };
     let (memory, last, patience) = match begin {
--- a/relay/src/stream_run.rs
+++ b/relay/src/stream_run.rs
@@ -107,7 +107,7 @@
     ) -> Self {
         let now = Instant::now();
         let events = Events::after(call.last_event());
-        let own = call.head.id.as_ref().map(|id| relay.moved().watch(id));
+        let own = call.head.id.as_ref().map(|id| relay.moved_runs().watch(id));
         Run {
             relay: relay.clone(),
             call,
@@ -132,7 +132,7 @@
 
     /// Relays the run's events to its end.
     pub(crate) async fn pump(mut self) {
-        let mut leaving = self.relay.leaving();
+        let mut leaving = self.relay.subscribe_leaving();
         let ending = self.relay_events(&mut leaving).await;
         let word = match ending {
             Ending::Complete => "complete",
