--- a/relay/src/attempts.rs
+++ b/relay/src/attempts.rs
@@ -13,20 +13,20 @@
 
 use crate::choice;
 use crate::exchange::Call;
-use crate::placed::Placed;
+use crate::placed_request::PlacedRequest;
 use crate::relay::Relay;
-use crate::send::Unanswered;
+use crate::send::NoAnswer;
 
 /// Maximum number of servers chosen for one request, since each unreachable one costs the caller time.
 const MAX_SERVERS_CHOSEN: usize = 4;
 
 /// Why a send failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Setback {
+pub(crate) enum SendFailure {
     /// The server refused the request or gave no answer.
-    Unanswered(Unanswered),
+    NoAnswer(NoAnswer),
     /// The server ran the request and answered with a failure.
-    Failed,
+    ServerFailed,
 }
 
 /// The sends of one request.
@@ -37,15 +37,15 @@
     tried: Vec<ServerKey>,
     // Servers that ran the request and failed; chosen again only if there is no other.
     failed: Vec<ServerKey>,
-    chosen: usize,
+    servers_chosen: usize,
     // Sends that reached a server.
-    sent: u32,
+    sends: u32,
     // Whether a server may have run the request.
-    ran: bool,
+    may_have_run: bool,
     // Whether a server stated that it did not run the request.
     refused: bool,
     // Why the last choice found no server.
-    lacking: Option<NoServer>,
+    no_server_reason: Option<NoServer>,
     // Wait until a server has room that the last choice excluded only because of its limit.
     limit_wait: Option<Duration>,
 }
@@ -58,18 +58,18 @@
             reserved,
             tried: Vec::new(),
             failed: Vec::new(),
-            chosen: 0,
-            sent: 0,
-            ran: false,
+            servers_chosen: 0,
+            sends: 0,
+            may_have_run: false,
             refused: false,
-            lacking: None,
+            no_server_reason: None,
             limit_wait: None,
         }
     }
 
     /// Whether a server may have run the request.
-    pub(crate) fn ran(&self) -> bool {
-        self.ran
+    pub(crate) fn may_have_run(&self) -> bool {
+        self.may_have_run
     }
 
     /// Whether a server stated that it did not run the request.
@@ -78,13 +78,13 @@
     }
 
     /// Why no server was found, unless a server refused the request.
-    pub(crate) fn lacking(&self) -> Option<NoServer> {
-        self.lacking.filter(|_| !self.refused)
+    pub(crate) fn no_server_reason(&self) -> Option<NoServer> {
+        self.no_server_reason.filter(|_| !self.refused)
     }
 
     /// Why the request is rejected, if servers exist but none of them is permitted to take it.
-    pub(crate) fn turned_away(&self) -> Option<RejectionCause> {
-        let NoServer::Excluded(why) = self.lacking()? else {
+    pub(crate) fn rejection_cause(&self) -> Option<RejectionCause> {
+        let NoServer::Excluded(why) = self.no_server_reason()? else {
             return None;
         };
         match why {
@@ -95,8 +95,8 @@
     }
 
     /// Number of sends that reached a server.
-    pub(crate) fn sent(&self) -> u32 {
-        self.sent
+    pub(crate) fn sends(&self) -> u32 {
+        self.sends
     }
 
     /// Chooses the next server for a request that is expected to hold `tokens` when it ends. `asking` is given if the
@@ -107,11 +107,11 @@
         call: &Call,
         tokens: u64,
         asking: Option<&AdmissionRequest>,
-    ) -> Result<Placed, AdmissionError> {
-        if self.chosen >= MAX_SERVERS_CHOSEN || call.left().is_zero() {
+    ) -> Result<PlacedRequest, AdmissionError> {
+        if self.servers_chosen >= MAX_SERVERS_CHOSEN || call.time_left().is_zero() {
             return Err(AdmissionError::NoServer(NoServer::None));
         }
-        self.chosen += 1;
+        self.servers_chosen += 1;
         let avoided: Vec<ServerKey> = self.tried.iter().chain(&self.failed).copied().collect();
         let regions = relay.table().regions_now(&call.admitted);
         let prompt = u64::from(call.head.prompt);
@@ -128,7 +128,7 @@
             result => result,
         };
         if let Err(AdmissionError::NoServer(why)) = &result {
-            self.lacking = Some(*why);
+            self.no_server_reason = Some(*why);
             self.limit_wait = relay.shortest_limit_wait(&need(&self.tried), &call.spec);
         }
         let placed = result?;
@@ -139,48 +139,49 @@
     }
 
     /// Whether a request that may have run can be sent to one more server. Takes no retry from the service's limit.
-    pub(crate) fn may_repeat(&self, call: &Call) -> bool {
-        let attempts_left =
-            self.sent + 1 < call.admitted.route.max_attempts && self.chosen < MAX_SERVERS_CHOSEN;
+    pub(crate) fn may_retry(&self, call: &Call) -> bool {
+        let attempts_left = self.sends + 1 < call.admitted.route.max_attempts
+            && self.servers_chosen < MAX_SERVERS_CHOSEN;
         call.is_repeatable() && attempts_left
     }
 
     /// Records a failed send and returns whether the request may be sent once more. If it takes a retry for that, the
     /// service's retry limit must allow it.
-    pub(crate) fn goes_on(
+    pub(crate) fn retry_after_failure(
         &mut self,
         relay: &Relay,
         call: &Call,
         server: ServerKey,
-        setback: Setback,
+        failure: SendFailure,
     ) -> bool {
-        match setback {
-            Setback::Failed => self.failed.push(server),
-            Setback::Unanswered(_) => self.tried.push(server),
+        match failure {
+            SendFailure::ServerFailed => self.failed.push(server),
+            SendFailure::NoAnswer(_) => self.tried.push(server),
         }
-        match setback {
-            Setback::Unanswered(Unanswered::Unreached) => return true,
+        match failure {
+            SendFailure::NoAnswer(NoAnswer::Unreached) => return true,
             // The intended server is gone, so the send does not count as an attempt. It does take a
             // retry, since the request has arrived at the service once more.
-            Setback::Unanswered(Unanswered::Elsewhere) => return self.try_retry(relay, call),
-            Setback::Unanswered(Unanswered::Refused) => self.refused = true,
-            Setback::Unanswered(Unanswered::TimeOver) => {
-                self.ran = true;
+            SendFailure::NoAnswer(NoAnswer::Elsewhere) => return self.try_retry(relay, call),
+            SendFailure::NoAnswer(NoAnswer::Refused) => self.refused = true,
+            SendFailure::NoAnswer(NoAnswer::TimeOver) => {
+                self.may_have_run = true;
                 return false;
             }
-            Setback::Unanswered(Unanswered::Unknown | Unanswered::Silent) | Setback::Failed => {
-                self.ran = true;
+            SendFailure::NoAnswer(NoAnswer::Unknown | NoAnswer::Silent)
+            | SendFailure::ServerFailed => {
+                self.may_have_run = true;
             }
         }
-        self.sent += 1;
-        let repeatable = call.is_repeatable() || !self.ran;
-        repeatable && self.sent < call.admitted.route.max_attempts && self.try_retry(relay, call)
+        self.sends += 1;
+        let repeatable = call.is_repeatable() || !self.may_have_run;
+        repeatable && self.sends < call.admitted.route.max_attempts && self.try_retry(relay, call)
     }
 
     /// Takes one retry if the service's limit allows it, and counts the outcome.
     fn try_retry(&self, relay: &Relay, call: &Call) -> bool {
         let taken = relay.try_retry(&call.service, self.reserved);
-        let reason = match (taken, self.ran) {
+        let reason = match (taken, self.may_have_run) {
             (false, _) => "over_bound",
             (true, true) => "failed",
             (true, false) => "refused",
--- a/relay/src/choice.rs
+++ b/relay/src/choice.rs
@@ -15,7 +15,7 @@
 use cicada_lib::stream_admission::AdmissionError;
 use cicada_lib::stream_admission::AdmissionRequest;
 
-use crate::placed::Placed;
+use crate::placed_request::PlacedRequest;
 use crate::relay::Relay;
 
 /// Places a request. Only the probed engines whose scouts answered are candidates; if no scout answered, all probed
@@ -26,7 +26,7 @@
     need: &PlacementRequest<'_>,
     spec: &ServiceSpec,
     asking: Option<&AdmissionRequest>,
-) -> Result<Placed, AdmissionError> {
+) -> Result<PlacedRequest, AdmissionError> {
     let Some(id) = id.filter(|_| should_probe(relay, need)) else {
         return relay.place(need, spec, asking);
     };
@@ -49,7 +49,7 @@
             ..need.clone()
         };
         match relay.place(&next, spec, asking) {
-            Ok(placed) => return Ok(placed.with_asked(probed.len(), answered.len())),
+            Ok(placed) => return Ok(placed.with_probe_counts(probed.len(), answered.len())),
             Err(AdmissionError::Rejected(rejected)) => {
                 rejection.get_or_insert(rejected);
             }
--- a/relay/src/exchange.rs
+++ b/relay/src/exchange.rs
@@ -47,16 +47,16 @@
 /// Retry-after of an entry that has no configuration yet: the minimum, and the width of the random range added to it.
 /// If the directory answers, reading the configuration takes less than the minimum; outages of the directory last some
 /// seconds. Randomized because a starting deployment rejects all its callers at once.
-const START_PAUSE: Duration = Duration::from_millis(800);
-const START_PAUSE_JITTER: Duration = Duration::from_millis(3_200);
+const STARTUP_RETRY_AFTER: Duration = Duration::from_millis(800);
+const STARTUP_RETRY_AFTER_JITTER: Duration = Duration::from_millis(3_200);
 
 /// A draining relay rejects calls if less than this is left before it ends. If it is the only relay of its zone, callers
 /// keep arriving until the end, and calls accepted later would be cut off: a call that is retried in another region takes
 /// a quarter of a second, one that waits for a full server longer.
-const LAST_CALLS: Duration = Duration::from_millis(1_300);
+const MIN_TIME_FOR_CALLS: Duration = Duration::from_millis(1_300);
 
 /// Retry-after of callers that are rejected because this relay ends: they can go to another relay at once.
-pub(crate) const ELSEWHERE: Duration = Duration::from_millis(20);
+pub(crate) const RETRY_ELSEWHERE: Duration = Duration::from_millis(20);
 
 /// A request that has been read and admitted to a route.
 pub(crate) struct Call {
@@ -70,16 +70,16 @@
     pub(crate) service: Name,
     pub(crate) spec: ServiceSpec,
     pub(crate) arrived: Instant,
-    // When the caller's time is up, for timers (`limit`) and by the clock that also advances while the host is suspended
-    // (`deadline`).
-    pub(crate) limit: Instant,
+    // When the caller's time is up, for timers.
+    pub(crate) timer_deadline: Instant,
+    // The same by the clock that also advances while the host is suspended.
     deadline: Time,
     clock: Clock,
 }
 
 impl Call {
     /// The time left until the caller's deadline.
-    pub(crate) fn left(&self) -> Duration {
+    pub(crate) fn time_left(&self) -> Duration {
         self.deadline.since(self.clock.now())
     }
 
@@ -117,13 +117,13 @@
 
     /// The identifier of the last event that the caller received; empty if there is none, or if the route's streams
     /// cannot be resumed in another run.
-    pub(crate) fn last_event(&self) -> Name {
+    pub(crate) fn last_event_id(&self) -> Name {
         let last = self.head.last.clone();
         last.filter(|_| self.is_repeatable()).unwrap_or_default()
     }
 
     /// Number of tokens per event of the service's engines.
-    pub(crate) fn stride(&self) -> u32 {
+    pub(crate) fn tokens_per_event(&self) -> u32 {
         let engine = self.spec.engine.as_ref();
         engine.map_or(1, |engine| engine.tokens_per_event.max(1))
     }
@@ -142,8 +142,8 @@
 ) -> Result<Response<AnswerBody>, Infallible> {
     let open = OpenAnswer::new(progress, relay.metrics().open_requests().clone());
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
-    let mut response = match read(&relay, request).await {
-        Ok(call) => answer(&relay, call).await,
+    let mut response = match read_call(&relay, request).await {
+        Ok(call) => handle(&relay, call).await,
         Err(own) => own.response(),
     };
     // Prevents request smuggling: a chunked body that also has a content length can be delimited in two ways, and what
@@ -155,14 +155,17 @@
     Ok(response.map(|body| body.with_open(open)))
 }
 
-async fn answer(relay: &Arc<Relay>, call: Call) -> Response<AnswerBody> {
-    if relay.grace_left().is_some_and(|left| left < LAST_CALLS) {
+async fn handle(relay: &Arc<Relay>, call: Call) -> Response<AnswerBody> {
+    if relay
+        .grace_left()
+        .is_some_and(|left| left < MIN_TIME_FOR_CALLS)
+    {
         relay.metrics().count_refusal("draining");
         tracing::info!(
             id = call.id(),
             "request: refused, this relay is about to end"
         );
-        return OwnAnswer::NotRun(ELSEWHERE).response();
+        return OwnAnswer::NotRun(RETRY_ELSEWHERE).response();
     }
     relay.count_request(&call.service);
     match call.admitted.route.kind {
@@ -172,35 +175,35 @@
     }
 }
 
-async fn read(relay: &Relay, request: Request<Incoming>) -> Result<Call, OwnAnswer> {
+async fn read_call(relay: &Relay, request: Request<Incoming>) -> Result<Call, OwnAnswer> {
     let arrived = Instant::now();
     let arrived_at = relay.now();
     relay.wait_until_confirmed().await;
     let table = relay.table();
     if !table.has_config() {
         relay.metrics().count_refusal("no_config");
-        return Err(OwnAnswer::NotRun(start_pause()));
+        return Err(OwnAnswer::NotRun(startup_retry_after()));
     }
     let (parts, body) = request.into_parts();
     let head = relay.dialect().call_head(&parts.headers);
     let admitted = admit(relay, &table, &parts, &head)?;
     let timeout = time_limit(&admitted.route, head.deadline);
-    let limit = arrived + timeout;
+    let timer_deadline = arrived + timeout;
     let deadline = arrived_at + timeout;
-    let body = read_body(body, table.config().limits.max_body_bytes, limit).await?;
+    let body = read_body(body, table.config().limits.max_body_bytes, timer_deadline).await?;
     let service = pick_service(&admitted.route, fastrand::f64()).cloned();
-    let service = service.ok_or(OwnAnswer::NotRun(start_pause()))?;
+    let service = service.ok_or(OwnAnswer::NotRun(startup_retry_after()))?;
     let spec = table
         .service(&service)
         .cloned()
-        .ok_or(OwnAnswer::NotRun(start_pause()))?;
+        .ok_or(OwnAnswer::NotRun(startup_retry_after()))?;
     let path = parts
         .uri
         .path_and_query()
         .cloned()
         .ok_or(OwnAnswer::BadRequest)?;
     Ok(Call {
-        headers: forwarded(relay, &parts.headers),
+        headers: forwarded_headers(relay, &parts.headers),
         method: parts.method,
         path,
         body,
@@ -209,14 +212,14 @@
         service,
         spec,
         arrived,
-        limit,
+        timer_deadline,
         deadline,
         clock: relay.clock(),
     })
 }
 
-fn start_pause() -> Duration {
-    START_PAUSE + START_PAUSE_JITTER.mul_f64(fastrand::f64())
+fn startup_retry_after() -> Duration {
+    STARTUP_RETRY_AFTER + STARTUP_RETRY_AFTER_JITTER.mul_f64(fastrand::f64())
 }
 
 fn admit(
@@ -275,7 +278,7 @@
 }
 
 /// The headers that are forwarded to a backend server.
-fn forwarded(relay: &Relay, headers: &HeaderMap) -> HeaderMap {
+fn forwarded_headers(relay: &Relay, headers: &HeaderMap) -> HeaderMap {
     let dialect = relay.dialect();
     let listed = connection_headers(headers);
     let mut forwarded = HeaderMap::with_capacity(headers.len() + 6);
@@ -289,7 +292,7 @@
 }
 
 /// The headers of a backend server's answer that are returned to the caller.
-pub(crate) fn returned(headers: &HeaderMap) -> HeaderMap {
+pub(crate) fn returned_headers(headers: &HeaderMap) -> HeaderMap {
     let mut returned = HeaderMap::with_capacity(headers.len() + 2);
     for (name, value) in headers {
         if !is_hop_by_hop(name) {
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -24,7 +24,7 @@
 mod peer_net;
 mod peer_pull;
 mod peers;
-mod placed;
+mod placed_request;
 mod plain;
 mod relay;
 mod relay_limits;
--- a/relay/src/moved_runs.rs
+++ b/relay/src/moved_runs.rs
@@ -15,7 +15,7 @@
 
 use crate::lock::lock;
 use crate::upstream;
-use crate::upstream::Opened;
+use crate::upstream::OpenConnection;
 
 /// How long word of a move is kept: a copy is freed after some seconds.
 const KEPT: Duration = Duration::from_secs(6);
@@ -98,7 +98,7 @@
     }
 
     /// The connection to the engine that was opened ahead for the run.
-    pub(crate) fn prepared(&self, id: &Name, target: SocketAddr) -> Option<Opened> {
+    pub(crate) fn prepared(&self, id: &Name, target: SocketAddr) -> Option<OpenConnection> {
         let mut own = lock(&self.own);
         let run = own.get_mut(id)?;
         run.moving = false;
@@ -169,7 +169,7 @@
 /// A connection that was opened ahead of a move.
 struct Prepared {
     target: SocketAddr,
-    opened: Opened,
+    opened: OpenConnection,
 }
 
 /// A run whose stream is here.
--- a/relay/src/placed.rs
+++ b/relay/src/placed_request.rs
@@ -16,34 +16,34 @@
 
 /// The figures by which a server was chosen, for the logs.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Basis {
+pub(crate) struct ChoiceBasis {
     // Tokens of the server's memory that counted as in use.
-    pub(crate) used: u64,
-    // Age in milliseconds of the report behind `used`, if there is one.
-    pub(crate) age: Option<u64>,
+    pub(crate) used_tokens: u64,
+    // Age in milliseconds of the report behind `used_tokens`, if there is one.
+    pub(crate) report_age_ms: Option<u64>,
     // Expected time to prefill all prompts that the server has, including this request's.
-    pub(crate) reading: Duration,
+    pub(crate) prefill_backlog: Duration,
     // Servers of the relay's own region that were excluded, if the chosen one is in another region.
-    pub(crate) left_out: Option<ExclusionCounts>,
+    pub(crate) exclusions: Option<ExclusionCounts>,
     // Request rate limit that the chosen server states, in requests per second.
-    pub(crate) limit: Option<f64>,
+    pub(crate) rate_limit: Option<f64>,
     // Number of scouts that were probed, and of those that answered.
-    pub(crate) asked: usize,
-    pub(crate) answered: usize,
+    pub(crate) scouts_probed: usize,
+    pub(crate) scouts_answered: usize,
 }
 
 /// A request that counts towards the load of a backend server until this guard is dropped.
-pub(crate) struct Placed {
+pub(crate) struct PlacedRequest {
     relay: Arc<Relay>,
     pub(crate) key: ServerKey,
     pub(crate) record: ServerRecord,
-    pub(crate) basis: Basis,
+    pub(crate) basis: ChoiceBasis,
     prompt: u64,
     tokens: u64,
     started: bool,
 }
 
-impl Placed {
+impl PlacedRequest {
     /// Wraps a request that the fleet already counts at the server.
     pub(crate) fn new(
         relay: &Arc<Relay>,
@@ -51,11 +51,11 @@
         record: ServerRecord,
         need: &PlacementRequest<'_>,
     ) -> Self {
-        Placed {
+        PlacedRequest {
             relay: relay.clone(),
             key,
             record,
-            basis: Basis::default(),
+            basis: ChoiceBasis::default(),
             prompt: need.prompt,
             tokens: need.tokens,
             started: false,
@@ -63,7 +63,7 @@
     }
 
     /// Adds the figures by which the server was chosen.
-    pub(crate) fn with_basis(self, basis: Basis) -> Self {
+    pub(crate) fn with_basis(self, basis: ChoiceBasis) -> Self {
         // Struct update syntax would move fields out of a type that implements `Drop`.
         let mut placed = self;
         placed.basis = basis;
@@ -71,17 +71,17 @@
     }
 
     /// Adds how many scouts were probed and how many answered.
-    pub(crate) fn with_asked(self, asked: usize, answered: usize) -> Self {
-        let basis = Basis {
-            asked,
-            answered,
+    pub(crate) fn with_probe_counts(self, scouts_probed: usize, scouts_answered: usize) -> Self {
+        let basis = ChoiceBasis {
+            scouts_probed,
+            scouts_answered,
             ..self.basis
         };
         self.with_basis(basis)
     }
 
     /// The message that announces the request to other processes.
-    pub(crate) fn word(&self, id: &Name) -> SentWord {
+    pub(crate) fn sent_message(&self, id: &Name) -> SentWord {
         SentWord {
             id: id.clone(),
             engine: self.record.address,
@@ -91,7 +91,7 @@
     }
 
     /// Records that the first event arrived, which means that the prompt is prefilled.
-    pub(crate) fn began(&mut self) {
+    pub(crate) fn record_first_event(&mut self) {
         if !self.started {
             self.started = true;
             self.relay.fleet().record_prefill_end(self.key, self.prompt);
@@ -99,31 +99,31 @@
     }
 
     /// When the server began to leave, if it is leaving.
-    pub(crate) fn leaving(&self) -> Option<Time> {
+    pub(crate) fn leaving_since(&self) -> Option<Time> {
         self.relay.fleet().leaving_since(self.key)
     }
 
     /// Expected time until the engine has prefilled the prompts that it has.
-    pub(crate) fn reading(&self) -> Duration {
+    pub(crate) fn prefill_backlog(&self) -> Duration {
         let now = self.relay.now();
         self.relay.fleet().prefill_backlog(now, self.key)
     }
 
     /// Records that the server completed the request.
-    pub(crate) fn went_well(&self) {
+    pub(crate) fn record_success(&self) {
         self.relay.fleet().record_success(self.key);
         self.report_outcome(true);
     }
 
     /// Records that the request failed at the server; `hard` if the server was unreachable.
-    pub(crate) fn failed(&self, hard: bool) {
+    pub(crate) fn record_failure(&self, hard: bool) {
         let now = self.relay.now();
         self.relay.fleet().record_failure(now, self.key, hard);
         self.report_outcome(false);
     }
 
     /// Reports to the scout that the request makes no progress. It stays at the server, since it may run nowhere else.
-    pub(crate) fn is_slow(&self) {
+    pub(crate) fn report_stall(&self) {
         self.report_outcome(false);
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Records a plain server's response time. Ignored if calls were waiting there, since it then includes their queueing.
-    pub(crate) fn worked(&self, elapsed: Duration, waiting: u32) {
+    pub(crate) fn record_response_time(&self, elapsed: Duration, waiting: u32) {
         if waiting == 0 {
             let now = self.relay.now();
             self.relay.fleet().record_work_time(now, self.key, elapsed);
@@ -168,9 +168,9 @@
     }
 }
 
-impl Drop for Placed {
+impl Drop for PlacedRequest {
     fn drop(&mut self) {
-        self.began();
+        self.record_first_event();
         self.relay.fleet().record_ended(self.key, self.tokens);
     }
 }
--- a/relay/src/plain.rs
+++ b/relay/src/plain.rs
@@ -19,13 +19,13 @@
 use crate::answer::AnswerBody;
 use crate::answer::OwnAnswer;
 use crate::attempts::Attempts;
-use crate::attempts::Setback;
+use crate::attempts::SendFailure;
 use crate::exchange::Call;
-use crate::exchange::returned;
-use crate::placed::Placed;
+use crate::exchange::returned_headers;
+use crate::placed_request::PlacedRequest;
 use crate::relay::Relay;
-use crate::send::Unanswered;
-use crate::send::conclude;
+use crate::send::NoAnswer;
+use crate::send::build_own_answer;
 use crate::send::send;
 
 /// Maximum size of a buffered answer's body.
@@ -45,7 +45,7 @@
     fn response(self) -> Response<AnswerBody> {
         let mut response = Response::new(AnswerBody::whole(self.body));
         *response.status_mut() = self.status;
-        *response.headers_mut() = returned(&self.headers);
+        *response.headers_mut() = returned_headers(&self.headers);
         response
     }
 }
@@ -85,7 +85,7 @@
         };
         let outcome = send_whole(relay, call, &placed).await;
         record_outcome(relay, call, &placed, &outcome);
-        let setback = match outcome {
+        let send_failure = match outcome {
             Ok(whole) if !whole.status.is_server_error() => {
                 tracing::info!(
                     id = call.id(),
@@ -93,10 +93,10 @@
                     version = call.admitted.version,
                     server = %placed.record.id,
                     status = whole.status.as_u16(),
-                    sends = attempts.sent() + 1,
+                    sends = attempts.sends() + 1,
                     waited = call.arrived.elapsed().as_millis() as u64,
-                    limit = placed.basis.limit,
-                    left_out = placed.basis.left_out.map(tracing::field::display),
+                    limit = placed.basis.rate_limit,
+                    left_out = placed.basis.exclusions.map(tracing::field::display),
                     "request: answered"
                 );
                 relay.metrics().count_answer("whole");
@@ -107,11 +107,11 @@
             }
             Ok(whole) => {
                 failure = Some(whole);
-                Setback::Failed
+                SendFailure::ServerFailed
             }
-            Err(unanswered) => Setback::Unanswered(unanswered),
+            Err(no_answer) => SendFailure::NoAnswer(no_answer),
         };
-        if !attempts.goes_on(relay, call, placed.key, setback) {
+        if !attempts.retry_after_failure(relay, call, placed.key, send_failure) {
             break;
         }
     }
@@ -119,17 +119,17 @@
         relay.metrics().count_answer("failed_by_server");
         return whole.response();
     }
-    let pause = match attempts.turned_away() {
-        Some(why) => retry_after::delay(why, call.left(), fastrand::f64()),
+    let pause = match attempts.rejection_cause() {
+        Some(why) => retry_after::delay(why, call.time_left(), fastrand::f64()),
         None => retry_delay(call),
     };
-    conclude(relay, call, &attempts, pause)
+    build_own_answer(relay, call, &attempts, pause)
 }
 
 /// Retry-after of a rejected caller: short, since plain calls are short, and randomized, since many callers are rejected
 /// at the same time.
 fn retry_delay(call: &Call) -> Duration {
-    let max = (call.left() / 4).min(Duration::from_millis(400));
+    let max = (call.time_left() / 4).min(Duration::from_millis(400));
     max.mul_f64(0.25 + 0.75 * fastrand::f64())
 }
 
@@ -137,23 +137,23 @@
 fn record_outcome(
     relay: &Relay,
     call: &Call,
-    placed: &Placed,
-    outcome: &Result<BufferedAnswer, Unanswered>,
+    placed: &PlacedRequest,
+    outcome: &Result<BufferedAnswer, NoAnswer>,
 ) {
     let (word, failed) = match outcome {
         Ok(whole) if whole.status.is_server_error() => ("failed", true),
         Ok(_) => ("ok", false),
-        Err(Unanswered::Refused) => ("refused", false),
-        Err(Unanswered::Unreached) => ("unreached", true),
-        Err(Unanswered::Elsewhere) => ("elsewhere", false),
-        Err(Unanswered::Unknown) => ("unknown", true),
-        Err(Unanswered::Silent) => ("silent", true),
-        Err(Unanswered::TimeOver) => ("time_over", true),
+        Err(NoAnswer::Refused) => ("refused", false),
+        Err(NoAnswer::Unreached) => ("unreached", true),
+        Err(NoAnswer::Elsewhere) => ("elsewhere", false),
+        Err(NoAnswer::Unknown) => ("unknown", true),
+        Err(NoAnswer::Silent) => ("silent", true),
+        Err(NoAnswer::TimeOver) => ("time_over", true),
     };
     if failed {
-        placed.failed(matches!(outcome, Err(Unanswered::Unreached)));
+        placed.record_failure(matches!(outcome, Err(NoAnswer::Unreached)));
     } else if word == "ok" {
-        placed.went_well();
+        placed.record_success();
     }
     if word != "ok" {
         relay.metrics().count_retry(word);
@@ -173,20 +173,20 @@
 async fn send_whole(
     relay: &Relay,
     call: &Call,
-    placed: &Placed,
-) -> Result<BufferedAnswer, Unanswered> {
+    placed: &PlacedRequest,
+) -> Result<BufferedAnswer, NoAnswer> {
     let dispatch = Dispatch {
         server: Fleet::expected_id(&placed.record),
         workspace: call.admitted.workspace.clone(),
-        left: call.left(),
+        left: call.time_left(),
         ..Dispatch::default()
     };
     let mut answered = send(relay, call, placed, &dispatch, None, None).await?;
     let mut whole = BytesMut::new();
     loop {
-        match timeout_at(call.limit, answered.body.frame()).await {
-            Err(_) => return Err(Unanswered::TimeOver),
-            Ok(Some(Err(_))) => return Err(Unanswered::Unknown),
+        match timeout_at(call.timer_deadline, answered.body.frame()).await {
+            Err(_) => return Err(NoAnswer::TimeOver),
+            Ok(Some(Err(_))) => return Err(NoAnswer::Unknown),
             Ok(Some(Ok(frame))) => {
                 if let Ok(data) = frame.into_data() {
                     whole.extend_from_slice(&data);
@@ -195,7 +195,7 @@
             Ok(None) => break,
         }
         if whole.len() > MAX_ANSWER_BYTES {
-            return Err(Unanswered::Unknown);
+            return Err(NoAnswer::Unknown);
         }
     }
     drop(answered.connection);
--- a/relay/src/relay_places.rs
+++ b/relay/src/relay_places.rs
@@ -21,8 +21,8 @@
 use cicada_lib::stream_admission::AdmissionRequest;
 
 use crate::lock::lock;
-use crate::placed::Basis;
-use crate::placed::Placed;
+use crate::placed_request::ChoiceBasis;
+use crate::placed_request::PlacedRequest;
 use crate::relay::Relay;
 use crate::relay::SentNotice;
 
@@ -34,7 +34,7 @@
         need: &PlacementRequest<'_>,
         spec: &ServiceSpec,
         asking: Option<&AdmissionRequest>,
-    ) -> Result<Placed, AdmissionError> {
+    ) -> Result<PlacedRequest, AdmissionError> {
         let now = self.now();
         let mut fleet = self.fleet();
         let key = match asking {
@@ -45,25 +45,25 @@
         };
         let record = fleet.record(key).cloned();
         let record = record.ok_or(AdmissionError::NoServer(NoServer::None))?;
-        let (used, age) = fleet.memory_use(now, key);
-        let basis = Basis {
-            used,
-            age: age.map(|age| age.as_millis() as u64),
-            limit: fleet.limit(key).map(RequestRate::per_second),
-            left_out: (!fleet.is_in_own_region(key))
+        let (used_tokens, age) = fleet.memory_use(now, key);
+        let basis = ChoiceBasis {
+            used_tokens,
+            report_age_ms: age.map(|age| age.as_millis() as u64),
+            rate_limit: fleet.limit(key).map(RequestRate::per_second),
+            exclusions: (!fleet.is_in_own_region(key))
                 .then(|| fleet.exclusions_in_own_region(now, need, spec)),
-            ..Basis::default()
+            ..ChoiceBasis::default()
         };
         if let Some(asking) = asking {
             lock(&self.retry_pacer).record_admission(now, need.service, asking.rank);
         }
         fleet.record_sent(now, key, need);
-        let basis = Basis {
-            reading: fleet.prefill_backlog(now, key),
+        let basis = ChoiceBasis {
+            prefill_backlog: fleet.prefill_backlog(now, key),
             ..basis
         };
         drop(fleet);
-        Ok(Placed::new(self, key, record, need).with_basis(basis))
+        Ok(PlacedRequest::new(self, key, record, need).with_basis(basis))
     }
 
     /// Recently rejected requests. The lock is held for microseconds.
@@ -138,7 +138,7 @@
         self: &Arc<Self>,
         engine: &EngineHere,
         need: &PlacementRequest<'_>,
-    ) -> Option<Placed> {
+    ) -> Option<PlacedRequest> {
         let now = self.now();
         let mut fleet = self.fleet();
         let key = fleet.key_for_moved_run(now, engine)?;
@@ -148,14 +148,14 @@
         let record = fleet.record(key).cloned()?;
         fleet.record_sent(now, key, need);
         drop(fleet);
-        Some(Placed::new(self, key, record, need))
+        Some(PlacedRequest::new(self, key, record, need))
     }
 
     /// Announces a request that was sent to an engine to the engine's scout and to other relays, ahead of the engine's
     /// next load report.
-    pub(crate) fn announce_sent(&self, placed: &Placed, id: Option<&Name>) {
+    pub(crate) fn announce_sent(&self, placed: &PlacedRequest, id: Option<&Name>) {
         let engine = placed.record.address;
-        let Some(message) = id.map(|id| placed.word(id)) else {
+        let Some(message) = id.map(|id| placed.sent_message(id)) else {
             return;
         };
         // If reports arrive too seldom to choose by, the other relays probe the scout, which counts this request.
--- a/relay/src/run_moves.rs
+++ b/relay/src/run_moves.rs
@@ -17,8 +17,8 @@
 use tokio::time::timeout;
 use tokio::time::timeout_at;
 
-use crate::placed::Placed;
-use crate::send::Unanswered;
+use crate::placed_request::PlacedRequest;
+use crate::send::NoAnswer;
 use crate::stream::Begin;
 use crate::stream::TOKEN_TIME;
 use crate::stream::expected_output;
@@ -43,7 +43,7 @@
     /// Begins a move where the engine leaves and the run is not about to end.
     pub(crate) fn consider_move(&mut self) {
         self.look_again = Instant::now() + MOVE_PAUSE;
-        if self.moving.is_some() || self.placed.leaving().is_none() {
+        if self.moving.is_some() || self.placed.leaving_since().is_none() {
             return;
         }
         let may = self
@@ -65,7 +65,7 @@
         self.begin_move(MoveStep::Copy, None);
     }
 
-    fn begin_move(&mut self, step: MoveStep, target: Option<Placed>) {
+    fn begin_move(&mut self, step: MoveStep, target: Option<PlacedRequest>) {
         let target = match target {
             Some(target) => target,
             None => {
@@ -154,7 +154,7 @@
     }
 
     /// Goes on at the target; where that refuses, at the engine that stopped.
-    async fn resume(&mut self, target: Placed, handle: &Name) -> bool {
+    async fn resume(&mut self, target: PlacedRequest, handle: &Name) -> bool {
         let before = self.latest;
         let from = self.placed.record.address;
         let begin = self.memory(from, handle);
@@ -166,14 +166,14 @@
                 self.go_on(before, answered);
                 true
             }
-            Err(Unanswered::Refused | Unanswered::Unreached | Unanswered::Elsewhere) => {
+            Err(NoAnswer::Refused | NoAnswer::Unreached | NoAnswer::Elsewhere) => {
                 self.relay.metrics().count_move("refused");
                 self.failed_moves += 1;
                 tracing::info!(id = self.call.id(), target = %target.record.address, "move: the target did not take the run");
                 self.refusing = Some(target.key);
                 self.go_back(handle).await
             }
-            Err(Unanswered::Unknown | Unanswered::Silent | Unanswered::TimeOver) => {
+            Err(NoAnswer::Unknown | NoAnswer::Silent | NoAnswer::TimeOver) => {
                 self.relay.metrics().count_move("lost");
                 false
             }
@@ -236,7 +236,7 @@
         let Some(moving) = &mut self.moving else {
             return false;
         };
-        match timeout(self.call.left(), moving.outcome.as_mut()).await {
+        match timeout(self.call.time_left(), moving.outcome.as_mut()).await {
             Ok(outcome) => self.moved(outcome).await,
             Err(_) => false,
         }
@@ -282,7 +282,7 @@
 
     /// How much longer the run is expected to take.
     fn rest(&self) -> Duration {
-        let stride = self.call.stride();
+        let stride = self.call.tokens_per_event();
         let made = self.events.count() as u32;
         let token = match made {
             0 | 1 => TOKEN_TIME,
--- a/relay/src/send.rs
+++ b/relay/src/send.rs
@@ -16,15 +16,15 @@
 use crate::answer::OwnAnswer;
 use crate::attempts::Attempts;
 use crate::exchange::Call;
-use crate::placed::Placed;
+use crate::placed_request::PlacedRequest;
 use crate::relay::Relay;
 use crate::upstream;
 use crate::upstream::Connection;
-use crate::upstream::Opened;
+use crate::upstream::OpenConnection;
 use crate::upstream::SendError;
 
 /// An answer whose head has arrived: it is either signed or a failure.
-pub(crate) struct Answered {
+pub(crate) struct StartedAnswer {
     pub(crate) parts: Parts,
     pub(crate) body: Incoming,
     pub(crate) connection: Connection,
@@ -32,7 +32,7 @@
 
 /// Why a send brought no usable answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Unanswered {
+pub(crate) enum NoAnswer {
     /// The server stated that it did not run the request.
     Refused,
     /// The server could not be reached, so nothing was sent.
@@ -52,28 +52,28 @@
 pub(crate) async fn send(
     relay: &Relay,
     call: &Call,
-    placed: &Placed,
+    placed: &PlacedRequest,
     dispatch: &Dispatch,
-    ahead: Option<Opened>,
+    ahead: Option<OpenConnection>,
     patience: Option<Instant>,
-) -> Result<Answered, Unanswered> {
+) -> Result<StartedAnswer, NoAnswer> {
     let opened = match ahead {
         Some(opened) => opened,
         None => match timeout_at(
-            call.limit,
+            call.timer_deadline,
             upstream::open(placed.record.address, placed.round_trip()),
         )
         .await
         {
-            Err(_) | Ok(Err(SendError::NotSent(_))) => return Err(Unanswered::Unreached),
-            Ok(Err(SendError::Lost(_))) => return Err(Unanswered::Unknown),
+            Err(_) | Ok(Err(SendError::NotSent(_))) => return Err(NoAnswer::Unreached),
+            Ok(Err(SendError::Lost(_))) => return Err(NoAnswer::Unknown),
             Ok(Ok(opened)) => opened,
         },
     };
     // If the host was suspended while the connection was opened, the deadline may have passed without a timeout.
-    let left = call.left();
+    let left = call.time_left();
     if left.is_zero() {
-        return Err(Unanswered::Unreached);
+        return Err(NoAnswer::Unreached);
     }
     let dispatch = Dispatch {
         left,
@@ -81,11 +81,13 @@
     };
     let request = call.request(relay, &dispatch);
     let (sent_instant, sent_at) = (Instant::now(), relay.now());
-    let give_up_at = patience.map_or(call.limit, |patience| patience.min(call.limit));
+    let give_up_at = patience.map_or(call.timer_deadline, |patience| {
+        patience.min(call.timer_deadline)
+    });
     let answer = match timeout_at(give_up_at, opened.send(request)).await {
-        Err(_) if call.left().is_zero() => return Err(Unanswered::TimeOver),
-        Err(_) => return Err(Unanswered::Silent),
-        Ok(Err(_)) => return Err(Unanswered::Unknown),
+        Err(_) if call.time_left().is_zero() => return Err(NoAnswer::TimeOver),
+        Err(_) => return Err(NoAnswer::Silent),
+        Ok(Err(_)) => return Err(NoAnswer::Unknown),
         Ok(Ok(answer)) => answer,
     };
     let (parts, body) = answer.response.into_parts();
@@ -93,25 +95,25 @@
     placed.record_queue(head.load);
     let plain = call.spec.engine.is_none();
     if let (true, true, Some((_, waiting))) = (plain, parts.status.is_success(), head.load) {
-        placed.worked(sent_instant.elapsed(), waiting);
+        placed.record_response_time(sent_instant.elapsed(), waiting);
     }
     if head.id.is_some() && head.id != call.head.id {
-        return Err(Unanswered::Unknown);
+        return Err(NoAnswer::Unknown);
     }
     if let Some(other) = &head.other {
         placed.record_mismatch(other);
-        return Err(Unanswered::Elsewhere);
+        return Err(NoAnswer::Elsewhere);
     }
     if head.limit.is_some() || head.signed {
         placed.record_limit(sent_at, head.limit);
     }
     if head.refused {
-        return Err(Unanswered::Refused);
+        return Err(NoAnswer::Refused);
     }
     if parts.status.is_success() && !head.signed {
-        return Err(Unanswered::Unknown);
+        return Err(NoAnswer::Unknown);
     }
-    Ok(Answered {
+    Ok(StartedAnswer {
         parts,
         body,
         connection: answer.connection,
@@ -120,7 +122,7 @@
 
 /// Builds the entry's own answer if no server gave one. It says "not run" only if no server can have run the request;
 /// the caller may then retry after the `pause`.
-pub(crate) fn conclude(
+pub(crate) fn build_own_answer(
     relay: &Relay,
     call: &Call,
     attempts: &Attempts,
@@ -128,13 +130,13 @@
 ) -> Response<AnswerBody> {
     let id = call.id();
     let waited = call.arrived.elapsed().as_millis() as u64;
-    let (outcome, own) = match (attempts.ran(), call.left().is_zero()) {
+    let (outcome, own) = match (attempts.may_have_run(), call.time_left().is_zero()) {
         (false, _) => ("not_run", OwnAnswer::NotRun(pause)),
         (true, true) => ("time_over", OwnAnswer::TimeOver),
         (true, false) => ("unknown", OwnAnswer::Failed),
     };
     relay.metrics().count_answer(outcome);
-    let lacking = attempts.lacking().map(NoServer::as_str);
+    let lacking = attempts.no_server_reason().map(NoServer::as_str);
     if let ("not_run", Some(why)) = (outcome, lacking) {
         relay.metrics().count_refusal(why);
     }
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -25,15 +25,15 @@
 use crate::answer::AnswerBody;
 use crate::answer::OwnAnswer;
 use crate::attempts::Attempts;
-use crate::attempts::Setback;
+use crate::attempts::SendFailure;
 use crate::exchange::Call;
-use crate::exchange::ELSEWHERE;
-use crate::exchange::returned;
-use crate::placed::Placed;
+use crate::exchange::RETRY_ELSEWHERE;
+use crate::exchange::returned_headers;
+use crate::placed_request::PlacedRequest;
 use crate::relay::Relay;
-use crate::send::Answered;
-use crate::send::Unanswered;
-use crate::send::conclude;
+use crate::send::NoAnswer;
+use crate::send::StartedAnswer;
+use crate::send::build_own_answer;
 use crate::send::send;
 use crate::stream_run::Run;
 
@@ -67,7 +67,7 @@
             ?left,
             "stream: refused, this relay may end before it does"
         );
-        return OwnAnswer::NotRun(ELSEWHERE).response();
+        return OwnAnswer::NotRun(RETRY_ELSEWHERE).response();
     }
     let tokens = expected_tokens(&call);
     let mut attempts = Attempts::new(SPARE);
@@ -80,7 +80,7 @@
                 relay.record_usage(&call.service, call.admitted.workspace.as_ref(), tokens);
                 placed
             }
-            Err(AdmissionError::Rejected(turned)) if attempts.sent() == 0 => {
+            Err(AdmissionError::Rejected(turned)) if attempts.sends() == 0 => {
                 return turn_away(relay, &call, &asking, &turned);
             }
             Err(_) => break,
@@ -91,35 +91,35 @@
             version = call.admitted.version,
             server = %placed.record.id,
             tokens,
-            used = placed.basis.used,
-            age = placed.basis.age,
-            reading = placed.basis.reading.as_millis() as u64,
-            asked = placed.basis.asked,
-            answered = placed.basis.answered,
-            limit = placed.basis.limit,
-            left_out = placed.basis.left_out.map(tracing::field::display),
+            used = placed.basis.used_tokens,
+            age = placed.basis.report_age_ms,
+            reading = placed.basis.prefill_backlog.as_millis() as u64,
+            asked = placed.basis.scouts_probed,
+            answered = placed.basis.scouts_answered,
+            limit = placed.basis.rate_limit,
+            left_out = placed.basis.exclusions.map(tracing::field::display),
             "stream: placed"
         );
-        let last = call.last_event();
+        let last = call.last_event_id();
         let wait = Instant::now() + first_wait(&call, &placed);
-        let patience = (relay.policy().patience && attempts.may_repeat(&call)).then_some(wait);
+        let patience = (relay.policy().patience && attempts.may_retry(&call)).then_some(wait);
         let begin = Begin::New { last, patience };
         let outcome = note_slow(&placed, wait, send_run(relay, &call, &placed, begin)).await;
         let key = placed.key;
-        let setback = match outcome {
+        let send_failure = match outcome {
             Ok(answered) if answered.parts.status.is_success() => {
                 return stream(relay, call, placed, answered, tokens, attempts);
             }
             Ok(answered) => {
                 failure = Some(other(&call, placed, answered).await);
-                Setback::Failed
+                SendFailure::ServerFailed
             }
-            Err(unanswered) => {
-                note(&call, &placed, unanswered);
-                Setback::Unanswered(unanswered)
+            Err(no_answer) => {
+                note(&call, &placed, no_answer);
+                SendFailure::NoAnswer(no_answer)
             }
         };
-        if !attempts.goes_on(relay, &call, key, setback) {
+        if !attempts.retry_after_failure(relay, &call, key, send_failure) {
             break;
         }
     }
@@ -127,13 +127,13 @@
         relay.metrics().count_answer("failed_by_server");
         return response;
     }
-    let why = match (attempts.refused(), attempts.turned_away()) {
+    let why = match (attempts.refused(), attempts.rejection_cause()) {
         (true, _) => RejectionCause::Full,
         (false, Some(why)) => why,
         (false, None) => RejectionCause::Unreached,
     };
-    let pause = retry_after::delay(why, call.left(), fastrand::f64());
-    conclude(relay, &call, &attempts, pause)
+    let pause = retry_after::delay(why, call.time_left(), fastrand::f64());
+    build_own_answer(relay, &call, &attempts, pause)
 }
 
 fn asking(relay: &Relay, call: &Call) -> AdmissionRequest {
@@ -163,7 +163,7 @@
     asking: &AdmissionRequest,
     turned: &stream_admission::Rejection,
 ) -> Response<AnswerBody> {
-    let pause = relay.retry_delay(&call.service, asking, call.left());
+    let pause = relay.retry_delay(&call.service, asking, call.time_left());
     let now = relay.now();
     relay
         .recent_rejections()
@@ -194,37 +194,41 @@
 }
 
 /// Tells of a send that brought no answer.
-pub(crate) fn note(call: &Call, placed: &Placed, unanswered: Unanswered) {
-    let word = match unanswered {
-        Unanswered::Refused => "refused by the server",
-        Unanswered::Unreached => "server not reached",
-        Unanswered::Elsewhere => "another server is there",
-        Unanswered::Unknown => "lost before its first event",
-        Unanswered::Silent => "no first event in the time that the load explains",
-        Unanswered::TimeOver => "no first event in the caller's time",
+pub(crate) fn note(call: &Call, placed: &PlacedRequest, no_answer: NoAnswer) {
+    let word = match no_answer {
+        NoAnswer::Refused => "refused by the server",
+        NoAnswer::Unreached => "server not reached",
+        NoAnswer::Elsewhere => "another server is there",
+        NoAnswer::Unknown => "lost before its first event",
+        NoAnswer::Silent => "no first event in the time that the load explains",
+        NoAnswer::TimeOver => "no first event in the caller's time",
     };
-    match unanswered {
-        Unanswered::Refused | Unanswered::Elsewhere => {}
-        Unanswered::Unreached => placed.failed(true),
-        Unanswered::Unknown | Unanswered::Silent | Unanswered::TimeOver => placed.failed(false),
+    match no_answer {
+        NoAnswer::Refused | NoAnswer::Elsewhere => {}
+        NoAnswer::Unreached => placed.record_failure(true),
+        NoAnswer::Unknown | NoAnswer::Silent | NoAnswer::TimeOver => placed.record_failure(false),
     }
     let waited = call.arrived.elapsed().as_millis() as u64;
     tracing::info!(id = call.id(), server = %placed.record.id, waited, "stream: {word}");
 }
 
 /// How long the first event is awaited before the engine counts as making no progress.
-fn first_wait(call: &Call, placed: &Placed) -> Duration {
-    progress_timeout::first_event(call.admitted.route.objective, placed.reading())
+fn first_wait(call: &Call, placed: &PlacedRequest) -> Duration {
+    progress_timeout::first_event(call.admitted.route.objective, placed.prefill_backlog())
 }
 
 /// Waits for the outcome of a send, and notes where it has not come at `wait`. An engine that hangs is known
 /// by that alone where the request may be sent nowhere else, seconds before its caller gives it up.
-async fn note_slow<T>(placed: &Placed, wait: Instant, outcome: impl Future<Output = T>) -> T {
+async fn note_slow<T>(
+    placed: &PlacedRequest,
+    wait: Instant,
+    outcome: impl Future<Output = T>,
+) -> T {
     tokio::pin!(outcome);
     match timeout_at(wait, &mut outcome).await {
         Ok(outcome) => outcome,
         Err(_) => {
-            placed.is_slow();
+            placed.report_stall();
             outcome.await
         }
     }
@@ -256,7 +260,7 @@
 
 /// Whether the run is expected to end before an engine that says it leaves is gone.
 fn is_short(call: &Call) -> bool {
-    expected_output(call) / call.stride() <= SHORT_EVENTS
+    expected_output(call) / call.tokens_per_event() <= SHORT_EVENTS
 }
 
 /// How a run begins at an engine.
@@ -274,9 +278,9 @@
 pub(crate) async fn send_run(
     relay: &Relay,
     call: &Call,
-    placed: &Placed,
+    placed: &PlacedRequest,
     begin: Begin,
-) -> Result<Answered, Unanswered> {
+) -> Result<StartedAnswer, NoAnswer> {
     let ahead = match (&begin, &call.head.id) {
         (Begin::Moved { .. }, Some(id)) => relay.moved_runs().prepared(id, placed.record.address),
         _ => None,
@@ -288,7 +292,7 @@
     let dispatch = Dispatch {
         server: Fleet::expected_id(&placed.record),
         workspace: call.admitted.workspace.clone(),
-        left: call.left(),
+        left: call.time_left(),
         rank: Some(move_plan::rank(call.admitted.priority, is_short(call))),
         memory,
         last,
@@ -298,11 +302,15 @@
 }
 
 /// Relays an answer that is no stream: a failure of the engine's own.
-async fn other(call: &Call, placed: Placed, answered: Answered) -> Response<AnswerBody> {
-    placed.failed(false);
+async fn other(
+    call: &Call,
+    placed: PlacedRequest,
+    answered: StartedAnswer,
+) -> Response<AnswerBody> {
+    placed.record_failure(false);
     let status = answered.parts.status.as_u16();
     tracing::info!(id = call.id(), server = %placed.record.id, status, "stream: failed by the server");
-    let bytes = match timeout_at(call.limit, answered.body.collect()).await {
+    let bytes = match timeout_at(call.timer_deadline, answered.body.collect()).await {
         Ok(Ok(whole)) => whole.to_bytes(),
         _ => return OwnAnswer::Failed.response(),
     };
@@ -313,8 +321,8 @@
 fn stream(
     relay: &Arc<Relay>,
     call: Call,
-    placed: Placed,
-    answered: Answered,
+    placed: PlacedRequest,
+    answered: StartedAnswer,
     tokens: u64,
     attempts: Attempts,
 ) -> Response<AnswerBody> {
@@ -328,6 +336,6 @@
 fn respond(parts: &Parts, body: AnswerBody) -> Response<AnswerBody> {
     let mut response = Response::new(body);
     *response.status_mut() = parts.status;
-    *response.headers_mut() = returned(&parts.headers);
+    *response.headers_mut() = returned_headers(&parts.headers);
     response
 }
--- a/relay/src/stream_run.rs
+++ b/relay/src/stream_run.rs
@@ -20,14 +20,14 @@
 
 use crate::answer::Broken;
 use crate::attempts::Attempts;
-use crate::attempts::Setback;
+use crate::attempts::SendFailure;
 use crate::events::Events;
 use crate::exchange::Call;
 use crate::moved_runs::OwnRun;
-use crate::placed::Placed;
+use crate::placed_request::PlacedRequest;
 use crate::relay::Relay;
-use crate::send::Answered;
-use crate::send::Unanswered;
+use crate::send::NoAnswer;
+use crate::send::StartedAnswer;
 use crate::stream::Begin;
 use crate::stream::note;
 use crate::stream::send_run;
@@ -39,7 +39,7 @@
 pub(crate) struct Run {
     pub(crate) relay: Arc<Relay>,
     pub(crate) call: Call,
-    pub(crate) placed: Placed,
+    pub(crate) placed: PlacedRequest,
     // Tokens that it is expected to hold at its end.
     pub(crate) tokens: u64,
     pub(crate) attempts: Attempts,
@@ -68,7 +68,7 @@
 
 /// A move under way.
 pub(crate) struct Move {
-    pub(crate) target: Placed,
+    pub(crate) target: PlacedRequest,
     pub(crate) step: MoveStep,
     pub(crate) outcome: Moving,
 }
@@ -99,14 +99,14 @@
     pub(crate) fn new(
         relay: &Arc<Relay>,
         call: Call,
-        placed: Placed,
-        answered: Answered,
+        placed: PlacedRequest,
+        answered: StartedAnswer,
         tokens: u64,
         attempts: Attempts,
         sender: mpsc::Sender<Result<Bytes, Broken>>,
     ) -> Self {
         let now = Instant::now();
-        let events = Events::after(call.last_event());
+        let events = Events::after(call.last_event_id());
         let own = call.head.id.as_ref().map(|id| relay.moved_runs().watch(id));
         Run {
             relay: relay.clone(),
@@ -156,7 +156,7 @@
         );
         match ending {
             Ending::Complete => {
-                self.placed.went_well();
+                self.placed.record_success();
                 let rest = self.events.rest();
                 if !rest.is_empty() {
                     drop(self.sender.send(Ok(rest)).await);
@@ -182,18 +182,18 @@
                 }
                 Wake::End => return Ending::Complete,
                 Wake::Lost => {
-                    if !self.survives_loss().await && !self.begin_again(Unanswered::Unknown).await {
+                    if !self.survives_loss().await && !self.begin_again(NoAnswer::Unknown).await {
                         return Ending::Lost;
                     }
                 }
                 Wake::Leaving => self.consider_move(),
                 Wake::Silent => {
-                    if !self.begin_again(Unanswered::Silent).await {
+                    if !self.begin_again(NoAnswer::Silent).await {
                         return Ending::Lost;
                     }
                 }
                 Wake::Moved(outcome) => {
-                    if !self.moved(outcome).await && !self.begin_again(Unanswered::Unknown).await {
+                    if !self.moved(outcome).await && !self.begin_again(NoAnswer::Unknown).await {
                         return Ending::Lost;
                     }
                 }
@@ -202,7 +202,7 @@
     }
 
     async fn wake(&mut self, leaving: &mut watch::Receiver<u64>) -> Wake {
-        let recheck = self.placed.leaving().is_some() && self.moving.is_none();
+        let recheck = self.placed.leaving_since().is_some() && self.moving.is_none();
         let silent = self.silent_at();
         let moving = async {
             match &mut self.moving {
@@ -227,8 +227,8 @@
             outcome = moving => Wake::Moved(outcome),
             _ = leaving.changed() => Wake::Leaving,
             () = sleep_until(self.look_again), if recheck => Wake::Leaving,
-            () = sleep_until(silent.unwrap_or(self.call.limit)), if silent.is_some() => Wake::Silent,
-            () = sleep_until(self.call.limit) => Wake::TimeOver,
+            () = sleep_until(silent.unwrap_or(self.call.timer_deadline)), if silent.is_some() => Wake::Silent,
+            () = sleep_until(self.call.timer_deadline) => Wake::TimeOver,
         }
     }
 
@@ -241,11 +241,11 @@
         let pause = now.duration_since(self.latest);
         self.latest = now;
         if self.first_event() {
-            self.placed.began();
+            self.placed.record_first_event();
             self.first = now;
             let took = self.call.arrived.elapsed();
             self.relay.metrics().observe_first_response(took);
-            let expected = self.placed.basis.reading;
+            let expected = self.placed.basis.prefill_backlog;
             self.relay.metrics().count_first_event(expected, took);
         } else {
             self.longest = self.longest.max(pause);
@@ -263,12 +263,12 @@
     /// else, or is being moved.
     fn silent_at(&self) -> Option<Instant> {
         let policy = self.relay.policy();
-        let may = policy.resume && policy.patience && self.attempts.may_repeat(&self.call);
+        let may = policy.resume && policy.patience && self.attempts.may_retry(&self.call);
         if self.moving.is_some() || !may {
             return None;
         }
         let route = &self.call.admitted.route;
-        let reading = self.placed.reading();
+        let reading = self.placed.prefill_backlog();
         Some(match self.latest > self.begun {
             true => self.latest + progress_timeout::next_event(route.event_gap, reading),
             false => self.begun + progress_timeout::first_event(route.objective, reading),
@@ -281,17 +281,21 @@
 
     /// Begins another run after the last event, at another engine: the one that made the stream so far has
     /// died or hangs, and nothing of its memory is left. `false` where the stream may not be resumed.
-    async fn begin_again(&mut self, unanswered: Unanswered) -> bool {
+    async fn begin_again(&mut self, no_answer: NoAnswer) -> bool {
         self.moving = None;
         // Closing the connection ends the run there.
         self.source = None;
         self.events.forget_rest();
         let before = self.latest;
-        let mut setback = Setback::Unanswered(unanswered);
-        self.placed.failed(false);
+        let mut send_failure = SendFailure::NoAnswer(no_answer);
+        self.placed.record_failure(false);
         let mut key = self.placed.key;
         let may = self.relay.policy().resume;
-        while may && self.attempts.goes_on(&self.relay, &self.call, key, setback) {
+        while may
+            && self
+                .attempts
+                .retry_after_failure(&self.relay, &self.call, key, send_failure)
+        {
             let placed = self
                 .attempts
                 .place(&self.relay, &self.call, self.tokens, None)
@@ -302,7 +306,7 @@
             let id = self.call.id();
             let (from, to) = (self.placed.record.id.as_str(), placed.record.id.as_str());
             let events = self.events.count();
-            let why = format!("{unanswered:?}");
+            let why = format!("{no_answer:?}");
             tracing::info!(id, from, to, events, why, "stream: resumed in another run");
             let begin = Begin::New {
                 last: self.events.last().clone(),
@@ -315,17 +319,17 @@
                     self.go_on(before, answered);
                     return true;
                 }
-                Err(unanswered) => {
-                    note(&self.call, &placed, unanswered);
-                    setback = Setback::Unanswered(unanswered);
+                Err(no_answer) => {
+                    note(&self.call, &placed, no_answer);
+                    send_failure = SendFailure::NoAnswer(no_answer);
                 }
             }
         }
         false
     }
 
-    pub(crate) fn go_on(&mut self, before: Instant, answered: Answered) {
-        self.placed.began();
+    pub(crate) fn go_on(&mut self, before: Instant, answered: StartedAnswer) {
+        self.placed.record_first_event();
         self.source = Some((answered.body, answered.connection));
         self.resumed = Some(before);
         self.begun = Instant::now();
@@ -336,12 +340,12 @@
 pub(crate) async fn send_on(
     relay: &Relay,
     call: &Call,
-    target: &Placed,
+    target: &PlacedRequest,
     begin: Begin,
-) -> Result<Answered, Unanswered> {
+) -> Result<StartedAnswer, NoAnswer> {
     let answered = send_run(relay, call, target, begin).await?;
     match answered.parts.status.is_success() {
         true => Ok(answered),
-        false => Err(Unanswered::Unknown),
+        false => Err(NoAnswer::Unknown),
     }
 }
--- a/relay/src/upstream.rs
+++ b/relay/src/upstream.rs
@@ -58,13 +58,16 @@
 }
 
 /// An open connection that has not been used yet.
-pub(crate) struct Opened {
+pub(crate) struct OpenConnection {
     sender: http1::SendRequest<Full<Bytes>>,
     connection: Connection,
 }
 
 /// Opens a connection to a server at the given round-round_trip time.
-pub(crate) async fn open(server: SocketAddr, round_trip: Duration) -> Result<Opened, SendError> {
+pub(crate) async fn open(
+    server: SocketAddr,
+    round_trip: Duration,
+) -> Result<OpenConnection, SendError> {
     let stream = match timeout(
         CONNECT_TIMEOUT + round_trip * 3,
         connect(server, round_trip),
@@ -83,10 +86,10 @@
             tracing::trace!(%error, "upstream: a connection broke");
         }
     }));
-    Ok(Opened { sender, connection })
+    Ok(OpenConnection { sender, connection })
 }
 
-impl Opened {
+impl OpenConnection {
     /// Sends the request, and returns when the head of the answer has arrived.
     pub(crate) async fn send(mut self, request: Request<Full<Bytes>>) -> Result<Answer, SendError> {
         match self.sender.send_request(request).await {
