--- a/relay/src/moved_runs.rs
+++ b/relay/src/moved_runs.rs
@@ -1,4 +1,4 @@
-//! Word of runs that scouts have moved, kept until their streams ask for it.
+//! Notices of runs that scouts have moved, kept until the streams of the runs need them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,128 +17,130 @@
 use crate::upstream;
 use crate::upstream::OpenConnection;
 
-/// How long word of a move is kept: a copy is freed after some seconds.
-const KEPT: Duration = Duration::from_secs(6);
+/// How long notice of a move is kept: the target frees an unclaimed copy after some seconds.
+const NOTICE_TTL: Duration = Duration::from_secs(6);
 
-/// How long a broken stream waits for word that its run was moved. The word is sent at once, and comes
-/// before the stream's end but for a lost datagram; a scout is asked at each [`ASK`] meanwhile.
-const WAIT: Duration = Duration::from_millis(260);
-const ASK: Duration = Duration::from_millis(65);
+/// How long a broken stream waits for notice that its run was moved. The scout sends the notice at once, and it arrives
+/// before the stream ends unless the datagram is lost, so the scout is also queried at each [`QUERY_INTERVAL`].
+const NOTICE_WAIT: Duration = Duration::from_millis(260);
+const QUERY_INTERVAL: Duration = Duration::from_millis(65);
 
-/// The same where the scout has said that it copies the run: the last part of the copy may wait on a
-/// link for other runs after the stream has ended. Callers give a stream up after two seconds.
-const WAIT_MOVING: Duration = Duration::from_millis(1_700);
+/// The same if the scout has announced that it copies the run: after the stream has ended, the last part of the copy
+/// may wait for other runs on the link. Callers abandon a stream after two seconds.
+const COPYING_WAIT: Duration = Duration::from_millis(1_700);
 
-/// Questions to scouts that wait to be sent.
-const WAITING_ASKS: usize = 256;
+/// Maximum number of queries to scouts that wait to be sent.
+const WAITING_QUERIES: usize = 256;
 
-/// A question to the scout beside an engine: was the run moved?
+/// A query to the scout of an engine whether it has moved a run.
 #[derive(Clone, Debug)]
 pub(crate) struct MoveAsk {
     pub(crate) engine: SocketAddr,
     pub(crate) id: Name,
 }
 
-/// Moves that were heard of lately.
+/// Recently announced moves of runs, and the runs whose streams this relay holds.
 pub(crate) struct MovedRuns {
-    // The runs whose streams are here, with connections to the engines that they go to.
-    own: Arc<Mutex<HashMap<Name, OwnState>>>,
+    // The runs whose streams this relay holds.
+    local: Arc<Mutex<HashMap<Name, LocalRun>>>,
     moved: Mutex<HashMap<Name, (Instant, MovedRun)>>,
-    // Raised with every move.
-    news: watch::Sender<u64>,
-    asks: mpsc::Sender<MoveAsk>,
-    // Until the task that sends the questions has taken it.
+    // Changed at each new notice.
+    changed: watch::Sender<u64>,
+    queries: mpsc::Sender<MoveAsk>,
+    // Present until the task that sends the queries takes it.
     pending: Mutex<Option<mpsc::Receiver<MoveAsk>>>,
 }
 
 impl MovedRuns {
-    /// No moves.
+    /// Creates an empty registry.
     pub(crate) fn new() -> Self {
-        let (asks, pending) = mpsc::channel(WAITING_ASKS);
+        let (queries, pending) = mpsc::channel(WAITING_QUERIES);
         MovedRuns {
-            own: Arc::default(),
+            local: Arc::default(),
             moved: Mutex::default(),
-            news: watch::Sender::new(0),
-            asks,
+            changed: watch::Sender::new(0),
+            queries,
             pending: Mutex::new(Some(pending)),
         }
     }
 
-    /// A stream of the run is here, until the guard is dropped.
-    pub(crate) fn watch(&self, id: &Name) -> OwnRun {
-        lock(&self.own).insert(id.clone(), OwnState::default());
-        OwnRun {
+    /// Registers a run whose stream this relay holds, until the guard is dropped.
+    pub(crate) fn register(&self, id: &Name) -> LocalRunGuard {
+        lock(&self.local).insert(id.clone(), LocalRun::default());
+        LocalRunGuard {
             id: id.clone(),
-            own: self.own.clone(),
+            local: self.local.clone(),
         }
     }
 
-    /// A run is about to go to another engine, a round trip away: opens a connection there, if its stream is here. The
-    /// caller would see nothing come meanwhile.
-    pub(crate) fn prepare(&self, moving: &MovedRun, trip: Duration) {
+    /// Opens a connection to the engine that a run is about to move to, at a distance of one `round_trip`, if its stream
+    /// is here. Opened only after the move, the connection would lengthen the gap that the caller sees.
+    pub(crate) fn prepare(&self, moving: &MovedRun, round_trip: Duration) {
         let Some(target) = moving.target else {
             return;
         };
-        match lock(&self.own).get_mut(&moving.id) {
+        match lock(&self.local).get_mut(&moving.id) {
             Some(run) => run.moving = true,
             None => return,
         }
-        let own = self.own.clone();
+        let local = self.local.clone();
         let id = moving.id.clone();
         tokio::spawn(async move {
-            match upstream::open(target, trip).await {
+            match upstream::open(target, round_trip).await {
                 Ok(opened) => {
-                    if let Some(run) = lock(&own).get_mut(&id) {
-                        run.prepared = Some(Prepared { target, opened });
+                    if let Some(run) = lock(&local).get_mut(&id) {
+                        run.ahead = Some(AheadConnection { target, opened });
                     }
                 }
-                Err(error) => tracing::debug!(%id, %target, %error, "move: no connection ahead"),
+                Err(error) => {
+                    tracing::debug!(%id, %target, %error, "move: failed to connect in advance")
+                }
             }
         });
     }
 
-    /// The connection to the engine that was opened ahead for the run.
-    pub(crate) fn prepared(&self, id: &Name, target: SocketAddr) -> Option<OpenConnection> {
-        let mut own = lock(&self.own);
-        let run = own.get_mut(id)?;
+    /// Takes the connection to `target` that was opened ahead of the run's move.
+    pub(crate) fn take_connection(&self, id: &Name, target: SocketAddr) -> Option<OpenConnection> {
+        let mut local = lock(&self.local);
+        let run = local.get_mut(id)?;
         run.moving = false;
-        let prepared = run.prepared.take()?;
-        (prepared.target == target).then_some(prepared.opened)
+        let ahead = run.ahead.take()?;
+        (ahead.target == target).then_some(ahead.opened)
     }
 
-    /// The questions to send, once.
+    /// Takes the receiver of the queries to send. `None` after the first call.
     pub(crate) fn take_asks(&self) -> Option<mpsc::Receiver<MoveAsk>> {
         lock(&self.pending).take()
     }
 
-    /// Keeps word of a move.
+    /// Records the notice of a move.
     pub(crate) fn note(&self, moved: MovedRun) {
         let now = Instant::now();
-        let mut runs = lock(&self.moved);
-        runs.retain(|_, (at, _)| now.duration_since(*at) < KEPT);
-        runs.insert(moved.id.clone(), (now, moved));
-        drop(runs);
-        self.news.send_modify(|count| *count += 1);
+        let mut moved_runs = lock(&self.moved);
+        moved_runs.retain(|_, (at, _)| now.duration_since(*at) < NOTICE_TTL);
+        moved_runs.insert(moved.id.clone(), (now, moved));
+        drop(moved_runs);
+        self.changed.send_modify(|count| *count += 1);
     }
 
-    /// The move of a run off the engine whose stream has broken; waits a moment for word of it.
+    /// Takes the notice that a run was moved off `engine`, whose stream has broken. Waits briefly for it.
     pub(crate) async fn wait(&self, id: &Name, engine: SocketAddr) -> Option<MovedRun> {
-        let mut news = self.news.subscribe();
-        let moving = lock(&self.own).get(id).is_some_and(|run| run.moving);
-        let end = Instant::now() + if moving { WAIT_MOVING } else { WAIT };
+        let mut notices = self.changed.subscribe();
+        let moving = lock(&self.local).get(id).is_some_and(|run| run.moving);
+        let end = Instant::now() + if moving { COPYING_WAIT } else { NOTICE_WAIT };
         while Instant::now() < end {
             if let Some(moved) = self.take(id, engine) {
                 return Some(moved);
             }
-            let ask = MoveAsk {
+            let query = MoveAsk {
                 engine,
                 id: id.clone(),
             };
-            if self.asks.try_send(ask).is_err() {
-                tracing::debug!(%id, "move: too many questions wait, one is left out");
+            if self.queries.try_send(query).is_err() {
+                tracing::debug!(%id, "move: query dropped, too many are waiting");
             }
-            let until = Instant::now() + ASK;
-            while let Ok(Ok(())) = timeout_at(until, news.changed()).await {
+            let until = Instant::now() + QUERY_INTERVAL;
+            while let Ok(Ok(())) = timeout_at(until, notices.changed()).await {
                 if let Some(moved) = self.take(id, engine) {
                     return Some(moved);
                 }
@@ -148,38 +150,38 @@
     }
 
     fn take(&self, id: &Name, engine: SocketAddr) -> Option<MovedRun> {
-        let mut runs = lock(&self.moved);
-        let found = runs
+        let mut moved_runs = lock(&self.moved);
+        let found = moved_runs
             .get(id)
             .is_some_and(|(_, moved)| moved.source == engine);
         found
-            .then(|| runs.remove(id).map(|(_, moved)| moved))
+            .then(|| moved_runs.remove(id).map(|(_, moved)| moved))
             .flatten()
     }
 }
 
-/// What is known of the moves of a run whose stream is here.
+/// State of the moves of a run whose stream is here.
 #[derive(Default)]
-struct OwnState {
-    // Whether its scout has said that it copies the run.
+struct LocalRun {
+    // Whether the scout has announced that it copies the run.
     moving: bool,
-    prepared: Option<Prepared>,
+    ahead: Option<AheadConnection>,
 }
 
-/// A connection that was opened ahead of a move.
-struct Prepared {
+/// A connection opened ahead of a move.
+struct AheadConnection {
     target: SocketAddr,
     opened: OpenConnection,
 }
 
-/// A run whose stream is here.
-pub(crate) struct OwnRun {
+/// Keeps a run registered as one whose stream is here.
+pub(crate) struct LocalRunGuard {
     id: Name,
-    own: Arc<Mutex<HashMap<Name, OwnState>>>,
+    local: Arc<Mutex<HashMap<Name, LocalRun>>>,
 }
 
-impl Drop for OwnRun {
+impl Drop for LocalRunGuard {
     fn drop(&mut self) {
-        lock(&self.own).remove(&self.id);
+        lock(&self.local).remove(&self.id);
     }
 }
--- a/relay/src/run_mover.rs
+++ b/relay/src/run_mover.rs
@@ -1,4 +1,4 @@
-//! Moves the runs of an engine that is about to leave, one after the other.
+//! Moves runs off a draining engine, one at a time.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,47 +26,47 @@
 
 use crate::lock::lock;
 
-/// A neighbour that was silent for longer is not a target: its engine may be gone.
-const REPORT_AGE: Duration = Duration::from_millis(1_500);
+/// Maximum age of a neighbour's last report for it to be a target: a silent neighbour's engine may be gone.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(1_500);
 
-/// Word that an engine names a limit counts for this long: relays renew it several times meanwhile.
-const LIMITED_AGE: Duration = Duration::from_secs(3);
+/// How long an engine counts as limited after a relay's last word of it. Relays renew it several times in this period.
+const LIMITED_TTL: Duration = Duration::from_secs(3);
 
-/// How long to wait for a run or a target to come up before looking again.
-const LOOK: Duration = Duration::from_millis(60);
+/// How long to wait for a new report before looking again for a run and a target.
+const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
-/// What is known of the engines to which runs can be moved.
+/// State of the engines to which runs can be moved.
 #[derive(Debug, Default)]
 pub(crate) struct Neighbours {
     engines: Mutex<HashMap<SocketAddr, Neighbour>>,
-    // As relays tell: no run goes there.
+    // Zones to which no run is moved, as told by relays.
     evacuated: Mutex<EvacuatedZones>,
-    // When relays last told that an engine names a limit.
+    // When relays last told that an engine announces a limit.
     limited: Mutex<HashMap<SocketAddr, Instant>>,
 }
 
 #[derive(Debug)]
 struct Neighbour {
-    at: Instant,
+    reported_at: Instant,
     report: ScoutReport,
-    // Tokens and runs that were sent there since the report.
-    sent: u64,
-    runs: u32,
+    // Tokens and runs that were moved there since the report.
+    moved_tokens: u64,
+    moved_runs: u32,
 }
 
 impl Neighbours {
-    /// Takes a neighbour's report.
+    /// Records a neighbour's report.
     pub(crate) fn report(&self, report: &ScoutReport) {
         let neighbour = Neighbour {
-            at: Instant::now(),
+            reported_at: Instant::now(),
             report: report.clone(),
-            sent: 0,
-            runs: 0,
+            moved_tokens: 0,
+            moved_runs: 0,
         };
         self.lock().insert(report.here.address, neighbour);
     }
 
-    /// Takes over which availability zones are evacuated, if that is news.
+    /// Applies which availability zones are evacuated, if newer than what is known.
     pub(crate) fn set_evacuated(&self, evacuated: &EvacuatedZones) {
         let change = lock(&self.evacuated).update(evacuated);
         if !change.is_empty() {
@@ -74,18 +74,20 @@
         }
     }
 
-    /// A relay tells which engines name a limit.
+    /// Records which engines announce a limit, as told by a relay.
     pub(crate) fn set_limited(&self, engines: &[SocketAddr]) {
         let now = Instant::now();
         let mut limited = lock(&self.limited);
-        limited.retain(|_, told| told.elapsed() < LIMITED_AGE);
+        limited.retain(|_, told_at| told_at.elapsed() < LIMITED_TTL);
         limited.extend(engines.iter().map(|engine| (*engine, now)));
     }
 
-    /// The engines that runs of `engine`, in availability zone `zone`, can be moved to.
+    /// Returns the engines to which runs of `engine`, in availability zone `zone`, can be moved.
     fn targets(&self, engine: SocketAddr, zone: &Name) -> Vec<Target> {
         let neighbours = self.lock();
-        let fresh = neighbours.values().filter(|n| n.at.elapsed() < REPORT_AGE);
+        let fresh = neighbours
+            .values()
+            .filter(|n| n.reported_at.elapsed() < MAX_REPORT_AGE);
         let evacuated = lock(&self.evacuated);
         let fresh = fresh.filter(|n| !evacuated.contains(&n.report.here.zone));
         let (leaving, mut staying): (Vec<_>, Vec<_>) = fresh.partition(|n| n.report.load.leaving);
@@ -94,23 +96,23 @@
         let limited = lock(&self.limited);
         let targets = staying.iter().enumerate().map(|(index, n)| Target {
             address: n.report.here.address,
-            used: n.report.load.used + n.sent,
+            used: n.report.load.used + n.moved_tokens,
             capacity: n.report.load.capacity,
-            requests: n.report.load.running + n.report.load.queued + n.runs,
+            requests: n.report.load.running + n.report.load.queued + n.moved_runs,
             same_zone: n.report.here.zone == *zone,
             cold: n.report.load.cold > 0,
             limited: limited
                 .get(&n.report.here.address)
-                .is_some_and(|told| told.elapsed() < LIMITED_AGE),
+                .is_some_and(|told_at| told_at.elapsed() < LIMITED_TTL),
             assigned: move_plan::is_assigned_to(engine, &leaving, index),
         });
         targets.collect()
     }
 
-    fn sent(&self, target: SocketAddr, tokens: u64) {
+    fn record_moving(&self, target: SocketAddr, tokens: u64) {
         if let Some(neighbour) = self.lock().get_mut(&target) {
-            neighbour.sent += tokens;
-            neighbour.runs += 1;
+            neighbour.moved_tokens += tokens;
+            neighbour.moved_runs += 1;
         }
     }
 
@@ -119,33 +121,33 @@
     }
 }
 
-/// What relays are told of a run.
+/// Notice to relays of a run's move.
 #[derive(Debug)]
 pub(crate) enum RunNews {
-    /// Its memory is being copied; it will stop soon.
+    /// The run's memory is being copied; it will stop soon.
     Coming(MovedRun),
-    /// It has stopped.
+    /// The run has stopped.
     Moved(MovedRun),
 }
 
-/// Moves runs until the engine is gone; ends when the reports do.
+/// Moves runs until the engine is gone. Ends when the channel of reports closes.
 pub(crate) async fn run(
     engines: Arc<dyn EngineCalls>,
     here: EngineHere,
     neighbours: Arc<Neighbours>,
     mut reports: watch::Receiver<EngineReport>,
-    news: mpsc::Sender<RunNews>,
+    notices: mpsc::Sender<RunNews>,
 ) {
     let mut mover = Mover {
         engines,
         engine: here.address,
         zone: here.zone,
         neighbours,
-        news,
+        notices,
         done: Vec::new(),
         postponed: Vec::new(),
-        told: Vec::new(),
-        refused: Vec::new(),
+        logged_no_room: Vec::new(),
+        refused_by: Vec::new(),
     };
     loop {
         let next = {
@@ -158,13 +160,13 @@
         };
         match moved {
             Some(moved) => {
-                if mover.news.send(RunNews::Moved(moved)).await.is_err() {
+                if mover.notices.send(RunNews::Moved(moved)).await.is_err() {
                     return;
                 }
             }
             None => {
-                let ended = matches!(timeout(LOOK, reports.changed()).await, Ok(Err(_)));
-                if ended {
+                let closed = matches!(timeout(RETRY_INTERVAL, reports.changed()).await, Ok(Err(_)));
+                if closed {
                     return;
                 }
             }
@@ -177,68 +179,68 @@
     engine: SocketAddr,
     zone: Name,
     neighbours: Arc<Neighbours>,
-    news: mpsc::Sender<RunNews>,
-    // Runs that are moved, or cannot be.
+    notices: mpsc::Sender<RunNews>,
+    // Runs that were moved, or cannot be.
     done: Vec<Name>,
-    // Runs that found no room lately, and are tried again when the others are done.
+    // Runs for which no target had room; retried once no other run is left.
     postponed: Vec<Name>,
-    // Those that this was said of.
-    told: Vec<Name>,
-    // Targets that turned the current run away.
-    refused: Vec<SocketAddr>,
+    // Runs for which a lack of room was already logged.
+    logged_no_room: Vec<Name>,
+    // Targets that refused the current run.
+    refused_by: Vec<SocketAddr>,
 }
 
 impl Mover {
-    /// The run to move next. Runs that found no room are tried again once the others are through.
+    /// Chooses the run to move next. Runs for which no target had room are retried once no other run is left.
     fn next(&mut self, runs: &[EngineRun]) -> Option<EngineRun> {
-        let passed: Vec<Name> = self.done.iter().chain(&self.postponed).cloned().collect();
-        let next = move_plan::next_run(runs, &passed).cloned();
+        let skipped: Vec<Name> = self.done.iter().chain(&self.postponed).cloned().collect();
+        let next = move_plan::next_run(runs, &skipped).cloned();
         if next.is_none() {
             self.postponed.clear();
         }
         next
     }
 
-    /// Moves one run; `None` where it stays for now.
+    /// Moves one run. `None` if it stays for now.
     async fn move_run(&mut self, run: &EngineRun) -> Option<MovedRun> {
         let targets = self.neighbours.targets(self.engine, &self.zone);
-        let Some(target) = move_plan::choose_target(run.tokens, &targets, &self.refused) else {
-            // Said once for each run, since it is tried again until the engine has gone.
-            if !self.told.contains(&run.id) {
-                self.told.push(run.id.clone());
+        let Some(target) = move_plan::choose_target(run.tokens, &targets, &self.refused_by) else {
+            // Logged once per run, since it is retried until the engine is gone.
+            if !self.logged_no_room.contains(&run.id) {
+                self.logged_no_room.push(run.id.clone());
                 tracing::info!(id = %run.id, tokens = run.tokens, targets = targets.len(), "move: no target has room");
             }
-            self.refused.clear();
+            self.refused_by.clear();
             self.postponed.push(run.id.clone());
             return None;
         };
         let address = target.address;
         let begun = Instant::now();
-        self.neighbours.sent(address, run.tokens);
-        let coming = RunNews::Coming(MovedRun {
+        self.neighbours.record_moving(address, run.tokens);
+        let notice = RunNews::Coming(MovedRun {
             id: run.id.clone(),
             source: self.engine,
             target: Some(address),
             handle: Name::default(),
         });
-        if self.news.send(coming).await.is_err() {
+        if self.notices.send(notice).await.is_err() {
             return None;
         }
-        let copy = match self.step(run, address, MoveStep::Copy).await {
+        let copy_handle = match self.move_step(run, address, MoveStep::Copy).await {
             Ok(handle) => handle,
             Err(error) => {
-                self.failed(run, address, &error);
+                self.record_failure(run, address, &error);
                 return None;
             }
         };
         let copied = begun.elapsed().as_millis() as u64;
-        let moved = match self.step(run, address, MoveStep::Stop).await {
-            Ok(handle) => self.moved(run, Some(address), handle),
-            Err(MoveError::NoRoom(Some(handle))) => self.moved(run, None, handle),
+        let moved = match self.move_step(run, address, MoveStep::Stop).await {
+            Ok(handle) => self.finish(run, Some(address), handle),
+            Err(MoveError::NoRoom(Some(handle))) => self.finish(run, None, handle),
             Err(error) => {
-                // The copy would keep its room at the target for seconds, which other runs need.
-                self.engines.drop_copy(self.engine, &copy).await;
-                self.failed(run, address, &error);
+                // Otherwise the copy would occupy memory at the target for seconds, which other runs need.
+                self.engines.drop_copy(self.engine, &copy_handle).await;
+                self.record_failure(run, address, &error);
                 return None;
             }
         };
@@ -247,7 +249,7 @@
         Some(moved)
     }
 
-    async fn step(
+    async fn move_step(
         &self,
         run: &EngineRun,
         target: SocketAddr,
@@ -260,8 +262,8 @@
         Ok(copied.handle)
     }
 
-    fn moved(&mut self, run: &EngineRun, target: Option<SocketAddr>, handle: Name) -> MovedRun {
-        self.refused.clear();
+    fn finish(&mut self, run: &EngineRun, target: Option<SocketAddr>, handle: Name) -> MovedRun {
+        self.refused_by.clear();
         self.done.push(run.id.clone());
         MovedRun {
             id: run.id.clone(),
@@ -271,12 +273,12 @@
         }
     }
 
-    fn failed(&mut self, run: &EngineRun, target: SocketAddr, error: &MoveError) {
+    fn record_failure(&mut self, run: &EngineRun, target: SocketAddr, error: &MoveError) {
         tracing::info!(id = %run.id, tokens = run.tokens, %target, %error, "move: a step failed");
         match error {
-            MoveError::NoRoom(_) | MoveError::Busy => self.refused.push(target),
+            MoveError::NoRoom(_) | MoveError::Busy => self.refused_by.push(target),
             MoveError::NoRun | MoveError::Lost(_) => {
-                self.refused.clear();
+                self.refused_by.clear();
                 self.done.push(run.id.clone());
             }
         }
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -282,7 +282,9 @@
     begin: Begin,
 ) -> Result<StartedAnswer, NoAnswer> {
     let ahead = match (&begin, &call.head.id) {
-        (Begin::Moved { .. }, Some(id)) => relay.moved_runs().prepared(id, placed.record.address),
+        (Begin::Moved { .. }, Some(id)) => relay
+            .moved_runs()
+            .take_connection(id, placed.record.address),
         _ => None,
     };
     let (memory, last, patience) = match begin {
--- a/relay/src/stream_run.rs
+++ b/relay/src/stream_run.rs
@@ -23,7 +23,7 @@
 use crate::attempts::SendFailure;
 use crate::events::EventSplitter;
 use crate::exchange::Call;
-use crate::moved_runs::OwnRun;
+use crate::moved_runs::LocalRunGuard;
 use crate::placed_request::PlacedRequest;
 use crate::relay::Relay;
 use crate::send::NoAnswer;
@@ -59,7 +59,7 @@
     // When a run whose engine leaves is to be looked at again: events come faster than that.
     pub(crate) look_again: Instant,
     // Tells that word of the run's moves is wanted here.
-    pub(crate) _own: Option<OwnRun>,
+    pub(crate) _registration: Option<LocalRunGuard>,
     // The target that did not take the run, since when it runs on at an engine that may be leaving.
     pub(crate) refusing: Option<ServerKey>,
     // When the last event before a move came, until the first one after it.
@@ -107,7 +107,11 @@
     ) -> Self {
         let now = Instant::now();
         let events = EventSplitter::after(call.last_event_id());
-        let own = call.head.id.as_ref().map(|id| relay.moved_runs().watch(id));
+        let registration = call
+            .head
+            .id
+            .as_ref()
+            .map(|id| relay.moved_runs().register(id));
         Run {
             relay: relay.clone(),
             call,
@@ -124,7 +128,7 @@
             moving: None,
             failed_moves: 0,
             look_again: now,
-            _own: own,
+            _registration: registration,
             refusing: None,
             resumed: None,
         }
