--- a/relay/src/answer.rs
+++ b/relay/src/answer.rs
@@ -18,7 +18,7 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-use crate::caller_io::Progress;
+use crate::caller_io::ConnectionActivity;
 
 /// A stream that could not be continued. Its connection is closed before the end of the body, so that the caller does
 /// not take a truncated response for a complete one.
@@ -27,10 +27,10 @@
 pub(crate) struct StreamAborted;
 
 /// The body of a response: complete, or streamed in chunks.
-pub(crate) struct AnswerBody {
+pub(crate) struct ResponseBody {
     source: BodySource,
     // Counts the response as open until its body is dropped.
-    _open: Option<OpenAnswer>,
+    _guard: Option<OpenResponseGuard>,
 }
 
 enum BodySource {
@@ -38,34 +38,34 @@
     Channel(mpsc::Receiver<Result<Bytes, StreamAborted>>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// Creates a body whose bytes are all known.
-    pub(crate) fn whole(bytes: Bytes) -> Self {
+    pub(crate) fn full(bytes: Bytes) -> Self {
         let bytes = (!bytes.is_empty()).then_some(bytes);
-        AnswerBody {
+        ResponseBody {
             source: BodySource::Full(bytes),
-            _open: None,
+            _guard: None,
         }
     }
 
     /// Creates a body that is streamed from a channel.
-    pub(crate) fn parts(chunks: mpsc::Receiver<Result<Bytes, StreamAborted>>) -> Self {
-        AnswerBody {
+    pub(crate) fn from_channel(chunks: mpsc::Receiver<Result<Bytes, StreamAborted>>) -> Self {
+        ResponseBody {
             source: BodySource::Channel(chunks),
-            _open: None,
+            _guard: None,
         }
     }
 
     /// Attaches the guard that counts the response as open until its body is sent or dropped.
-    pub(crate) fn with_open(self, open: OpenAnswer) -> Self {
-        AnswerBody {
-            _open: Some(open),
+    pub(crate) fn with_guard(self, guard: OpenResponseGuard) -> Self {
+        ResponseBody {
+            _guard: Some(guard),
             ..self
         }
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = StreamAborted;
 
@@ -96,68 +96,68 @@
 }
 
 /// Counts a response as open, on its connection and in the metrics, until dropped.
-pub(crate) struct OpenAnswer {
-    progress: Arc<Progress>,
+pub(crate) struct OpenResponseGuard {
+    activity: Arc<ConnectionActivity>,
     open: IntGauge,
 }
 
-impl OpenAnswer {
+impl OpenResponseGuard {
     /// Records the start of a request on the connection.
-    pub(crate) fn new(progress: Arc<Progress>, open: IntGauge) -> Self {
-        progress.request_started();
+    pub(crate) fn new(activity: Arc<ConnectionActivity>, open: IntGauge) -> Self {
+        activity.request_started();
         open.inc();
-        OpenAnswer { progress, open }
+        OpenResponseGuard { activity, open }
     }
 }
 
-impl Drop for OpenAnswer {
+impl Drop for OpenResponseGuard {
     fn drop(&mut self) {
-        self.progress.response_ended();
+        self.activity.response_ended();
         self.open.dec();
     }
 }
 
 /// A response that the relay makes itself, in place of a backend server's.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum OwnAnswer {
+pub(crate) enum LocalResponse {
     /// No route matches the request.
     NoRoute,
     /// The API key is missing or unknown.
-    BadKey,
+    InvalidKey,
     /// The body exceeds the size limit.
-    TooLarge,
+    BodyTooLarge,
     /// The request is malformed or ambiguous.
     BadRequest,
     /// The request did not run and never will; the caller may retry after this time.
     NotRun(Duration),
     /// The body did not arrive in time; the request did not run.
-    TooSlow,
+    BodyTimeout,
     /// The request failed, or its outcome is unknown.
     Failed,
     /// The deadline has passed and the request may have run.
-    TimeOver,
+    DeadlineExceeded,
 }
 
-impl OwnAnswer {
+impl LocalResponse {
     fn status(self) -> StatusCode {
         match self {
-            OwnAnswer::NoRoute => StatusCode::NOT_FOUND,
-            OwnAnswer::BadKey => StatusCode::UNAUTHORIZED,
-            OwnAnswer::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            OwnAnswer::BadRequest => StatusCode::BAD_REQUEST,
-            OwnAnswer::NotRun(_) => StatusCode::SERVICE_UNAVAILABLE,
-            OwnAnswer::TooSlow => StatusCode::REQUEST_TIMEOUT,
-            OwnAnswer::Failed => StatusCode::BAD_GATEWAY,
-            OwnAnswer::TimeOver => StatusCode::GATEWAY_TIMEOUT,
+            LocalResponse::NoRoute => StatusCode::NOT_FOUND,
+            LocalResponse::InvalidKey => StatusCode::UNAUTHORIZED,
+            LocalResponse::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            LocalResponse::BadRequest => StatusCode::BAD_REQUEST,
+            LocalResponse::NotRun(_) => StatusCode::SERVICE_UNAVAILABLE,
+            LocalResponse::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            LocalResponse::Failed => StatusCode::BAD_GATEWAY,
+            LocalResponse::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
     /// Builds the response.
-    pub(crate) fn response(self) -> Response<AnswerBody> {
-        let mut response = Response::new(AnswerBody::whole(Bytes::new()));
+    pub(crate) fn into_response(self) -> Response<ResponseBody> {
+        let mut response = Response::new(ResponseBody::full(Bytes::new()));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
-        if let OwnAnswer::NotRun(after) = self {
+        if let LocalResponse::NotRun(after) = self {
             let seconds = format!("{:.3}", after.as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&seconds) {
                 headers.insert(header::RETRY_AFTER, value);
@@ -165,7 +165,7 @@
         }
         if matches!(
             self,
-            OwnAnswer::TooLarge | OwnAnswer::BadRequest | OwnAnswer::TooSlow
+            LocalResponse::BodyTooLarge | LocalResponse::BadRequest | LocalResponse::BodyTimeout
         ) {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
--- a/relay/src/caller_io.rs
+++ b/relay/src/caller_io.rs
@@ -20,7 +20,7 @@
 
 /// Activity on a connection: open requests, and the times from which its timeouts count.
 #[derive(Debug)]
-pub(crate) struct Progress {
+pub(crate) struct ConnectionActivity {
     state: Mutex<State>,
     // Notified when the next timeout changes.
     changed: Notify,
@@ -45,10 +45,10 @@
     Idle,
 }
 
-impl Progress {
+impl ConnectionActivity {
     /// Creates the record of a new connection.
     pub(crate) fn new() -> Self {
-        Progress {
+        ConnectionActivity {
             state: Mutex::new(State {
                 open_requests: 0,
                 head_since: None,
@@ -108,13 +108,13 @@
 /// A caller's connection.
 pub(crate) struct CallerIo {
     stream: TcpStream,
-    progress: Arc<Progress>,
+    activity: Arc<ConnectionActivity>,
 }
 
 impl CallerIo {
-    /// Wraps a stream, and records in `progress` when bytes are read from it.
-    pub(crate) fn new(stream: TcpStream, progress: Arc<Progress>) -> Self {
-        CallerIo { stream, progress }
+    /// Wraps a stream, and records in `activity` when bytes are read from it.
+    pub(crate) fn new(stream: TcpStream, activity: Arc<ConnectionActivity>) -> Self {
+        CallerIo { stream, activity }
     }
 }
 
@@ -127,7 +127,7 @@
         let before = buf.filled().len();
         let result = Pin::new(&mut self.stream).poll_read(cx, buf);
         if result.is_ready() && buf.filled().len() > before {
-            self.progress.bytes_read();
+            self.activity.bytes_read();
         }
         result
     }
--- a/relay/src/caller_server.rs
+++ b/relay/src/caller_server.rs
@@ -19,10 +19,10 @@
 use tokio::time::sleep;
 use tokio::time::sleep_until;
 
-use crate::answer::AnswerBody;
+use crate::answer::ResponseBody;
 use crate::caller_io::CallerIo;
+use crate::caller_io::ConnectionActivity;
 use crate::caller_io::ConnectionTimeout;
-use crate::caller_io::Progress;
 use crate::exchange;
 use crate::relay::Relay;
 
@@ -61,7 +61,7 @@
 }
 
 /// Answers the load balancer's checks whether this relay accepts new connections.
-pub(crate) async fn serve_ready(relay: Arc<Relay>, listener: TcpListener) {
+pub(crate) async fn serve_readiness(relay: Arc<Relay>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(ACCEPT_RETRY_DELAY).await;
@@ -81,8 +81,8 @@
     }
 }
 
-fn readiness_response(relay: &Relay, request: &Request<Incoming>) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(Bytes::new()));
+fn readiness_response(relay: &Relay, request: &Request<Incoming>) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::full(Bytes::new()));
     *response.status_mut() = if request.uri().path() != relay.dialect().ready_path() {
         StatusCode::NOT_FOUND
     } else if relay.is_ready() {
@@ -99,12 +99,12 @@
         return;
     }
     let limits = relay.table().config().limits.clone();
-    let progress = Arc::new(Progress::new());
-    let io = TokioIo::new(CallerIo::new(stream, progress.clone()));
+    let activity = Arc::new(ConnectionActivity::new());
+    let io = TokioIo::new(CallerIo::new(stream, activity.clone()));
     let handler = {
-        let progress = progress.clone();
+        let activity = activity.clone();
         let relay = relay.clone();
-        service_fn(move |request| exchange::serve(relay.clone(), progress.clone(), request))
+        service_fn(move |request| exchange::serve(relay.clone(), activity.clone(), request))
     };
     let mut builder = http1::Builder::new();
     builder
@@ -117,7 +117,7 @@
     let mut shutting_down = false;
     let mut ending = relay.subscribe_close_idle();
     loop {
-        let timeout = progress.next_timeout(limits.header_timeout, limits.idle_timeout);
+        let timeout = activity.next_timeout(limits.header_timeout, limits.idle_timeout);
         let timed_out = async {
             match timeout {
                 Some((at, why)) if !shutting_down => {
@@ -140,7 +140,7 @@
             }
             why = timed_out => {
                 let now = std::time::Instant::now();
-                let next = progress.next_timeout(limits.header_timeout, limits.idle_timeout);
+                let next = activity.next_timeout(limits.header_timeout, limits.idle_timeout);
                 match next {
                     Some((at, ConnectionTimeout::Head)) if at <= now => {
                         relay.metrics().count_overdue("head");
@@ -154,7 +154,7 @@
                     _ => {}
                 }
             }
-            () = progress.changed() => {}
+            () = activity.changed() => {}
             _ = ending.changed(), if !shutting_down => {
                 shutting_down = true;
                 serving.as_mut().graceful_shutdown();
--- a/relay/src/exchange.rs
+++ b/relay/src/exchange.rs
@@ -36,10 +36,10 @@
 use tokio::time::Instant;
 use tokio::time::timeout_at;
 
-use crate::answer::AnswerBody;
-use crate::answer::OpenAnswer;
-use crate::answer::OwnAnswer;
-use crate::caller_io::Progress;
+use crate::answer::LocalResponse;
+use crate::answer::OpenResponseGuard;
+use crate::answer::ResponseBody;
+use crate::caller_io::ConnectionActivity;
 use crate::plain;
 use crate::relay::Relay;
 use crate::stream;
@@ -137,14 +137,14 @@
 /// Serves one request.
 pub(crate) async fn serve(
     relay: Arc<Relay>,
-    progress: Arc<Progress>,
+    activity: Arc<ConnectionActivity>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Infallible> {
-    let open = OpenAnswer::new(progress, relay.metrics().open_requests().clone());
+) -> Result<Response<ResponseBody>, Infallible> {
+    let open = OpenResponseGuard::new(activity, relay.metrics().open_requests().clone());
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
     let mut response = match read_call(&relay, request).await {
         Ok(call) => handle(&relay, call).await,
-        Err(own) => own.response(),
+        Err(own) => own.into_response(),
     };
     // Prevents request smuggling: a chunked body that also has a content length can be delimited in two ways, and what
     // follows the shorter reading would run as the caller's next request. The connection is closed after the answer.
@@ -152,10 +152,10 @@
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
-    Ok(response.map(|body| body.with_open(open)))
+    Ok(response.map(|body| body.with_guard(open)))
 }
 
-async fn handle(relay: &Arc<Relay>, call: Call) -> Response<AnswerBody> {
+async fn handle(relay: &Arc<Relay>, call: Call) -> Response<ResponseBody> {
     if relay
         .grace_left()
         .is_some_and(|left| left < MIN_TIME_FOR_CALLS)
@@ -165,7 +165,7 @@
             id = call.id(),
             "request: refused, this relay is about to end"
         );
-        return OwnAnswer::NotRun(RETRY_ELSEWHERE).response();
+        return LocalResponse::NotRun(RETRY_ELSEWHERE).into_response();
     }
     relay.count_request(&call.service);
     match call.admitted.route.kind {
@@ -175,14 +175,14 @@
     }
 }
 
-async fn read_call(relay: &Relay, request: Request<Incoming>) -> Result<Call, OwnAnswer> {
+async fn read_call(relay: &Relay, request: Request<Incoming>) -> Result<Call, LocalResponse> {
     let arrived = Instant::now();
     let arrived_at = relay.now();
     relay.wait_until_confirmed().await;
     let table = relay.table();
     if !table.has_config() {
         relay.metrics().count_refusal("no_config");
-        return Err(OwnAnswer::NotRun(startup_retry_after()));
+        return Err(LocalResponse::NotRun(startup_retry_after()));
     }
     let (parts, body) = request.into_parts();
     let head = relay.dialect().call_head(&parts.headers);
@@ -192,16 +192,16 @@
     let deadline = arrived_at + timeout;
     let body = read_body(body, table.config().limits.max_body_bytes, timer_deadline).await?;
     let service = pick_service(&admitted.route, fastrand::f64()).cloned();
-    let service = service.ok_or(OwnAnswer::NotRun(startup_retry_after()))?;
+    let service = service.ok_or(LocalResponse::NotRun(startup_retry_after()))?;
     let spec = table
         .service(&service)
         .cloned()
-        .ok_or(OwnAnswer::NotRun(startup_retry_after()))?;
+        .ok_or(LocalResponse::NotRun(startup_retry_after()))?;
     let path = parts
         .uri
         .path_and_query()
         .cloned()
-        .ok_or(OwnAnswer::BadRequest)?;
+        .ok_or(LocalResponse::BadRequest)?;
     Ok(Call {
         headers: forwarded_headers(relay, &parts.headers),
         method: parts.method,
@@ -227,7 +227,7 @@
     table: &RouteTable,
     parts: &Parts,
     head: &CallHead,
-) -> Result<Admitted, OwnAnswer> {
+) -> Result<Admitted, LocalResponse> {
     let host = parts
         .headers
         .get(header::HOST)
@@ -238,8 +238,8 @@
     let version = table.config().version;
     table.admit(host, parts.uri.path(), key).map_err(|denied| {
         let (reason, own) = match denied {
-            Denied::NoRoute => ("no_route", OwnAnswer::NoRoute),
-            Denied::BadKey => ("bad_key", OwnAnswer::BadKey),
+            Denied::NoRoute => ("no_route", LocalResponse::NoRoute),
+            Denied::BadKey => ("bad_key", LocalResponse::InvalidKey),
         };
         relay.metrics().count_refusal(reason);
         tracing::info!(
@@ -258,20 +258,20 @@
     mut body: Incoming,
     max_bytes: usize,
     limit: Instant,
-) -> Result<Bytes, OwnAnswer> {
+) -> Result<Bytes, LocalResponse> {
     let mut whole = BytesMut::new();
     loop {
         let frame = match timeout_at(limit, body.frame()).await {
-            Err(_) => return Err(OwnAnswer::TooSlow),
+            Err(_) => return Err(LocalResponse::BodyTimeout),
             Ok(None) => return Ok(whole.freeze()),
-            Ok(Some(Err(_))) => return Err(OwnAnswer::BadRequest),
+            Ok(Some(Err(_))) => return Err(LocalResponse::BadRequest),
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(data) = frame.into_data() else {
             continue;
         };
         if whole.len() + data.len() > max_bytes {
-            return Err(OwnAnswer::TooLarge);
+            return Err(LocalResponse::BodyTooLarge);
         }
         whole.extend_from_slice(&data);
     }
--- a/relay/src/moved_runs.rs
+++ b/relay/src/moved_runs.rs
@@ -34,7 +34,7 @@
 
 /// A query to the scout of an engine whether it has moved a run.
 #[derive(Clone, Debug)]
-pub(crate) struct MoveAsk {
+pub(crate) struct MoveQuery {
     pub(crate) engine: SocketAddr,
     pub(crate) id: Name,
 }
@@ -46,9 +46,9 @@
     moved: Mutex<HashMap<Name, (Instant, MovedRun)>>,
     // Changed at each new notice.
     changed: watch::Sender<u64>,
-    queries: mpsc::Sender<MoveAsk>,
+    queries: mpsc::Sender<MoveQuery>,
     // Present until the task that sends the queries takes it.
-    pending: Mutex<Option<mpsc::Receiver<MoveAsk>>>,
+    pending: Mutex<Option<mpsc::Receiver<MoveQuery>>>,
 }
 
 impl MovedRuns {
@@ -75,7 +75,7 @@
 
     /// Opens a connection to the engine that a run is about to move to, at a distance of one `round_trip`, if its stream
     /// is here. Opened only after the move, the connection would lengthen the gap that the caller sees.
-    pub(crate) fn prepare(&self, moving: &MovedRun, round_trip: Duration) {
+    pub(crate) fn preconnect(&self, moving: &MovedRun, round_trip: Duration) {
         let Some(target) = moving.target else {
             return;
         };
@@ -109,12 +109,12 @@
     }
 
     /// Takes the receiver of the queries to send. `None` after the first call.
-    pub(crate) fn take_asks(&self) -> Option<mpsc::Receiver<MoveAsk>> {
+    pub(crate) fn take_queries(&self) -> Option<mpsc::Receiver<MoveQuery>> {
         lock(&self.pending).take()
     }
 
     /// Records the notice of a move.
-    pub(crate) fn note(&self, moved: MovedRun) {
+    pub(crate) fn record(&self, moved: MovedRun) {
         let now = Instant::now();
         let mut moved_runs = lock(&self.moved);
         moved_runs.retain(|_, (at, _)| now.duration_since(*at) < NOTICE_TTL);
@@ -132,7 +132,7 @@
             if let Some(moved) = self.take(id, engine) {
                 return Some(moved);
             }
-            let query = MoveAsk {
+            let query = MoveQuery {
                 engine,
                 id: id.clone(),
             };
--- a/relay/src/peer_net.rs
+++ b/relay/src/peer_net.rs
@@ -17,7 +17,7 @@
 use tokio::time::interval;
 
 use crate::datagram_socket::DatagramSocket;
-use crate::moved_runs::MoveAsk;
+use crate::moved_runs::MoveQuery;
 use crate::relay::QueueReceivers;
 use crate::relay::Relay;
 use crate::relay::SentNotice;
@@ -76,7 +76,7 @@
     /// Exchanges datagrams until the process ends.
     pub(crate) async fn run(
         mut self,
-        mut move_queries: mpsc::Receiver<MoveAsk>,
+        mut move_queries: mpsc::Receiver<MoveQuery>,
         pending: QueueReceivers,
     ) {
         let QueueReceivers {
--- a/relay/src/plain.rs
+++ b/relay/src/plain.rs
@@ -16,8 +16,8 @@
 use http_body_util::BodyExt;
 use tokio::time::timeout_at;
 
-use crate::answer::AnswerBody;
-use crate::answer::OwnAnswer;
+use crate::answer::LocalResponse;
+use crate::answer::ResponseBody;
 use crate::attempts::Attempts;
 use crate::attempts::SendFailure;
 use crate::exchange::Call;
@@ -42,8 +42,8 @@
 }
 
 impl BufferedAnswer {
-    fn response(self) -> Response<AnswerBody> {
-        let mut response = Response::new(AnswerBody::whole(self.body));
+    fn response(self) -> Response<ResponseBody> {
+        let mut response = Response::new(ResponseBody::full(self.body));
         *response.status_mut() = self.status;
         *response.headers_mut() = returned_headers(&self.headers);
         response
@@ -51,20 +51,20 @@
 }
 
 /// Serves a request that may run more than once.
-pub(crate) async fn serve_repeatable(relay: &Arc<Relay>, call: Call) -> Response<AnswerBody> {
+pub(crate) async fn serve_repeatable(relay: &Arc<Relay>, call: Call) -> Response<ResponseBody> {
     run(relay, &call, &AtomicBool::new(false)).await
 }
 
 /// Serves a request that must run at most once. If its caller disconnects while it is at a server, it is left to finish
 /// there: if it were aborted, it would be unknown whether it ran.
-pub(crate) async fn serve_once(relay: &Arc<Relay>, call: Call) -> Response<AnswerBody> {
+pub(crate) async fn serve_once(relay: &Arc<Relay>, call: Call) -> Response<ResponseBody> {
     let disconnected = Arc::new(AtomicBool::new(false));
     let guard = DisconnectGuard(disconnected.clone());
     let relay = relay.clone();
     let running = tokio::spawn(async move { run(&relay, &call, &disconnected).await });
     let response = running.await;
     drop(guard);
-    response.unwrap_or_else(|_| OwnAnswer::Failed.response())
+    response.unwrap_or_else(|_| LocalResponse::Failed.into_response())
 }
 
 /// Records that the caller has disconnected, when dropped.
@@ -76,7 +76,7 @@
     }
 }
 
-async fn run(relay: &Arc<Relay>, call: &Call, disconnected: &AtomicBool) -> Response<AnswerBody> {
+async fn run(relay: &Arc<Relay>, call: &Call, disconnected: &AtomicBool) -> Response<ResponseBody> {
     let mut attempts = Attempts::new(RESERVED_RETRIES);
     let mut failure: Option<BufferedAnswer> = None;
     while !disconnected.load(Ordering::Relaxed) {
--- a/relay/src/relay.rs
+++ b/relay/src/relay.rs
@@ -189,19 +189,19 @@
         tokio::spawn(peer_pull::serve(self.clone(), pulls));
         let peers = PeerNet::bind(self.clone(), self.settings.peer).await?;
         let receivers = lock(&self.receivers).take();
-        if let (Some(asks), Some(receivers)) = (self.moved_runs.take_asks(), receivers) {
+        if let (Some(asks), Some(receivers)) = (self.moved_runs.take_queries(), receivers) {
             tokio::spawn(peers.run(asks, receivers));
         }
         let callers = caller_server::listen(self.settings.listen)?;
         let ready = caller_server::listen(self.settings.ready)?;
         tokio::spawn(caller_server::serve_callers(self.clone(), callers));
-        tokio::spawn(caller_server::serve_ready(self.clone(), ready));
+        tokio::spawn(caller_server::serve_readiness(self.clone(), ready));
         Ok(())
     }
 
     /// Records that a scout moved a run.
     pub(crate) fn record_moved_run(&self, moved: MovedRun) {
-        self.moved_runs.note(moved);
+        self.moved_runs.record(moved);
     }
 
     /// Opens a connection to the target engine of a run that a scout is about to move, if its stream is here.
@@ -212,7 +212,7 @@
         let record = key.and_then(|key| fleet.record(key));
         let round_trip = record.map_or(Duration::ZERO, |r| fleet.round_trip(now, &r.zone));
         drop(fleet);
-        self.moved_runs.prepare(moving, round_trip);
+        self.moved_runs.preconnect(moving, round_trip);
     }
 
     pub(crate) fn moved_runs(&self) -> &MovedRuns {
--- a/relay/src/run_mover.rs
+++ b/relay/src/run_mover.rs
@@ -56,7 +56,7 @@
 
 impl Neighbours {
     /// Records a neighbour's report.
-    pub(crate) fn report(&self, report: &ScoutReport) {
+    pub(crate) fn record_report(&self, report: &ScoutReport) {
         let neighbour = Neighbour {
             reported_at: Instant::now(),
             report: report.clone(),
@@ -75,7 +75,7 @@
     }
 
     /// Records which engines announce a limit, as told by a relay.
-    pub(crate) fn set_limited(&self, engines: &[SocketAddr]) {
+    pub(crate) fn record_limited(&self, engines: &[SocketAddr]) {
         let now = Instant::now();
         let mut limited = lock(&self.limited);
         limited.retain(|_, told_at| told_at.elapsed() < LIMITED_TTL);
@@ -123,9 +123,9 @@
 
 /// Notice to relays of a run's move.
 #[derive(Debug)]
-pub(crate) enum RunNews {
+pub(crate) enum MoveNotice {
     /// The run's memory is being copied; it will stop soon.
-    Coming(MovedRun),
+    Moving(MovedRun),
     /// The run has stopped.
     Moved(MovedRun),
 }
@@ -136,7 +136,7 @@
     here: EngineHere,
     neighbours: Arc<Neighbours>,
     mut reports: watch::Receiver<EngineReport>,
-    notices: mpsc::Sender<RunNews>,
+    notices: mpsc::Sender<MoveNotice>,
 ) {
     let mut mover = Mover {
         engines,
@@ -160,7 +160,7 @@
         };
         match moved {
             Some(moved) => {
-                if mover.notices.send(RunNews::Moved(moved)).await.is_err() {
+                if mover.notices.send(MoveNotice::Moved(moved)).await.is_err() {
                     return;
                 }
             }
@@ -179,7 +179,7 @@
     engine: SocketAddr,
     zone: Name,
     neighbours: Arc<Neighbours>,
-    notices: mpsc::Sender<RunNews>,
+    notices: mpsc::Sender<MoveNotice>,
     // Runs that were moved, or cannot be.
     done: Vec<Name>,
     // Runs for which no target had room; retried once no other run is left.
@@ -217,7 +217,7 @@
         let address = target.address;
         let begun = Instant::now();
         self.neighbours.record_moving(address, run.tokens);
-        let notice = RunNews::Coming(MovedRun {
+        let notice = MoveNotice::Moving(MovedRun {
             id: run.id.clone(),
             source: self.engine,
             target: Some(address),
--- a/relay/src/scout.rs
+++ b/relay/src/scout.rs
@@ -38,8 +38,8 @@
 use crate::datagram_socket::DatagramSocket;
 use crate::identity::IdentityTracker;
 use crate::run_mover;
+use crate::run_mover::MoveNotice;
 use crate::run_mover::Neighbours;
-use crate::run_mover::RunNews;
 
 /// Interval between polls of the engine. An engine announces that it leaves 1.5 s ahead, of which the poll
 /// delay takes at most a fiftieth. Short intervals also let relays that place requests at the same time see
@@ -105,8 +105,8 @@
     pub(crate) last_sent_notice: Instant,
     pub(crate) clock: Clock,
     pub(crate) past_moves: Vec<MovedRun>,
-    pub(crate) mover_events: mpsc::Receiver<RunNews>,
-    pub(crate) mover_events_tx: mpsc::Sender<RunNews>,
+    pub(crate) mover_events: mpsc::Receiver<MoveNotice>,
+    pub(crate) mover_events_tx: mpsc::Sender<MoveNotice>,
 }
 
 impl Scout {
@@ -168,8 +168,8 @@
                     }
                 }
                 Some(news) = self.mover_events.recv() => match news {
-                    RunNews::Coming(run) => self.broadcast(&Datagram::Moving(run)).await,
-                    RunNews::Moved(run) => self.broadcast_moved(run).await,
+                    MoveNotice::Moving(run) => self.broadcast(&Datagram::Moving(run)).await,
+                    MoveNotice::Moved(run) => self.broadcast_moved(run).await,
                 },
             }
         }
@@ -181,7 +181,7 @@
                 self.handle_subscription(from, subscription).await
             }
             Ok(Datagram::Report(report)) if report.here.address.ip() == from.ip() => {
-                self.neighbours.report(&report);
+                self.neighbours.record_report(&report);
             }
             Ok(Datagram::Sent(notice)) if notice.engine == self.engine.address => {
                 self.load_tracker.record_sent(self.clock.now(), &notice);
@@ -234,7 +234,7 @@
             self.cold_period = Duration::from_millis(u64::from(period));
         }
         self.neighbours.set_evacuated(&subscription.evacuated);
-        self.neighbours.set_limited(&subscription.limited);
+        self.neighbours.record_limited(&subscription.limited);
         if self.subscribers.insert(from, now).is_some() {
             return;
         }
--- a/relay/src/send.rs
+++ b/relay/src/send.rs
@@ -12,8 +12,8 @@
 use tokio::time::Instant;
 use tokio::time::timeout_at;
 
-use crate::answer::AnswerBody;
-use crate::answer::OwnAnswer;
+use crate::answer::LocalResponse;
+use crate::answer::ResponseBody;
 use crate::attempts::Attempts;
 use crate::exchange::Call;
 use crate::placed_request::PlacedRequest;
@@ -127,13 +127,13 @@
     call: &Call,
     attempts: &Attempts,
     pause: Duration,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let id = call.id();
     let waited = call.arrived.elapsed().as_millis() as u64;
     let (outcome, own) = match (attempts.may_have_run(), call.time_left().is_zero()) {
-        (false, _) => ("not_run", OwnAnswer::NotRun(pause)),
-        (true, true) => ("time_over", OwnAnswer::TimeOver),
-        (true, false) => ("unknown", OwnAnswer::Failed),
+        (false, _) => ("not_run", LocalResponse::NotRun(pause)),
+        (true, true) => ("time_over", LocalResponse::DeadlineExceeded),
+        (true, false) => ("unknown", LocalResponse::Failed),
     };
     relay.metrics().count_answer(outcome);
     let lacking = attempts.no_server_reason().map(NoServer::as_str);
@@ -153,5 +153,5 @@
         service = %call.service,
         "{kind}: own answer"
     );
-    own.response()
+    own.into_response()
 }
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -22,8 +22,8 @@
 use tokio::time::Instant;
 use tokio::time::timeout_at;
 
-use crate::answer::AnswerBody;
-use crate::answer::OwnAnswer;
+use crate::answer::LocalResponse;
+use crate::answer::ResponseBody;
 use crate::attempts::Attempts;
 use crate::attempts::SendFailure;
 use crate::exchange::Call;
@@ -56,7 +56,7 @@
 pub(crate) const TOKEN_TIME: Duration = Duration::from_millis(10);
 
 /// Serves a streaming request.
-pub(crate) async fn serve(relay: &Arc<Relay>, call: Call) -> Response<AnswerBody> {
+pub(crate) async fn serve(relay: &Arc<Relay>, call: Call) -> Response<ResponseBody> {
     if let Some(left) = relay
         .grace_left()
         .filter(|left| outlasts(relay, &call, *left))
@@ -67,11 +67,11 @@
             ?left,
             "stream: refused, this relay may end before it does"
         );
-        return OwnAnswer::NotRun(RETRY_ELSEWHERE).response();
+        return LocalResponse::NotRun(RETRY_ELSEWHERE).into_response();
     }
     let tokens = expected_tokens(&call);
     let mut attempts = Attempts::new(SPARE);
-    let mut failure: Option<Response<AnswerBody>> = None;
+    let mut failure: Option<Response<ResponseBody>> = None;
     let asking = asking(relay, &call);
     loop {
         let judged = relay.policy().refuse.then_some(&asking);
@@ -162,7 +162,7 @@
     call: &Call,
     asking: &AdmissionRequest,
     turned: &stream_admission::Rejection,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let pause = relay.retry_delay(&call.service, asking, call.time_left());
     let now = relay.now();
     relay
@@ -186,7 +186,7 @@
         pause = pause.as_millis() as u64,
         "stream: turned away"
     );
-    OwnAnswer::NotRun(pause).response()
+    LocalResponse::NotRun(pause).into_response()
 }
 
 fn percent(part: f64) -> u64 {
@@ -308,16 +308,16 @@
     call: &Call,
     placed: PlacedRequest,
     answered: StartedAnswer,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     placed.record_failure(false);
     let status = answered.parts.status.as_u16();
     tracing::info!(id = call.id(), server = %placed.record.id, status, "stream: failed by the server");
     let bytes = match timeout_at(call.timer_deadline, answered.body.collect()).await {
         Ok(Ok(whole)) => whole.to_bytes(),
-        _ => return OwnAnswer::Failed.response(),
+        _ => return LocalResponse::Failed.into_response(),
     };
     drop(answered.connection);
-    respond(&answered.parts, AnswerBody::whole(bytes))
+    respond(&answered.parts, ResponseBody::full(bytes))
 }
 
 fn stream(
@@ -327,15 +327,15 @@
     answered: StartedAnswer,
     tokens: u64,
     attempts: Attempts,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let (sender, receiver) = mpsc::channel(WAITING_PARTS);
-    let response = respond(&answered.parts, AnswerBody::parts(receiver));
+    let response = respond(&answered.parts, ResponseBody::from_channel(receiver));
     let run = Run::new(relay, call, placed, answered, tokens, attempts, sender);
     tokio::spawn(run.pump());
     response
 }
 
-fn respond(parts: &Parts, body: AnswerBody) -> Response<AnswerBody> {
+fn respond(parts: &Parts, body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = parts.status;
     *response.headers_mut() = returned_headers(&parts.headers);
