--- a/relay/src/moved_runs.rs
+++ b/relay/src/moved_runs.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Opens a connection to the engine that a run is about to move to, at a distance of one `round_trip`, if its stream
-    /// is here. Opened only after the move, the connection would lengthen the gap that the caller sees.
+    /// Opens a connection to the engine that a run is about to move to, one `round_trip` away, if its stream is here.
+    /// Opened only after the move, the connection would lengthen the gap that the caller sees.
     pub(crate) fn preconnect(&self, moving: &MovedRun, round_trip: Duration) {
         let Some(target) = moving.target else {
             return;
--- a/relay/src/run_moves.rs
+++ b/relay/src/run_moves.rs
@@ -1,4 +1,5 @@
-//! Moves of a stream's run to another engine: by its relay, and after its engine's scout has moved it.
+//! Migration of a stream's run to another engine: started by the relay itself, or followed after the engine's scout has
+//! moved the run.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,68 +20,73 @@
 
 use crate::placed_request::PlacedRequest;
 use crate::send::NoAnswer;
-use crate::stream::Begin;
-use crate::stream::TOKEN_TIME;
+use crate::stream::DEFAULT_TOKEN_TIME;
+use crate::stream::RunStart;
 use crate::stream::expected_output;
-use crate::stream_run::Move;
+use crate::stream_run::PendingMove;
 use crate::stream_run::Run;
-use crate::stream_run::send_on;
+use crate::stream_run::resume_run;
 
-/// A run that is expected to end sooner than this stays where it is: an engine that says it leaves
-/// stays for 1.5 s and more, and a move costs a pause.
-const SHORT_REST: Duration = Duration::from_millis(700);
+/// A run that is expected to end sooner than this is not moved: an engine shuts down 1.5 s or more after it announces
+/// it, and a move pauses the run.
+const MIN_REMAINING_TIME: Duration = Duration::from_millis(700);
 
-/// After this a move that found no run is tried again: the run was still being read in.
-const MOVE_PAUSE: Duration = Duration::from_millis(80);
+/// Delay before a move is tried again that found no run at the engine, since the prompt was still being read.
+const MOVE_RETRY_DELAY: Duration = Duration::from_millis(80);
 
-/// Moves of one run that may fail before it is left where it is.
-const MOST_MOVES: u32 = 8;
+/// Number of failed moves after which a run is no longer moved.
+const MAX_FAILED_MOVES: u32 = 8;
 
-/// How long the events of a stopped run are awaited that are still on their way.
-const TAIL_TIME: Duration = Duration::from_millis(150);
+/// How long to wait for events of a stopped run that are still in transit.
+const TAIL_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl Run {
-    /// Begins a move where the engine leaves and the run is not about to end.
+    /// Starts a move if the engine is draining and the run is not about to end.
     pub(crate) fn consider_move(&mut self) {
-        self.look_again = Instant::now() + MOVE_PAUSE;
+        self.next_move_check = Instant::now() + MOVE_RETRY_DELAY;
         if self.moving.is_some() || self.placed.leaving_since().is_none() {
             return;
         }
-        let may = self
+        let supported = self
             .call
             .spec
             .engine
             .as_ref()
             .is_some_and(|engine| engine.supports_moves);
-        if !may || self.failed_moves >= MOST_MOVES || self.rest() < SHORT_REST {
+        if !supported
+            || self.failed_moves >= MAX_FAILED_MOVES
+            || self.expected_remaining_time() < MIN_REMAINING_TIME
+        {
             return;
         }
-        // The scout sees all runs of the engine and moves them one after the other.
+        // A live scout moves the runs itself: it sees all runs of the engine, and moves them one at a time.
         let now = self.relay.now();
-        let scout = self.relay.fleet().has_live_scout(now, self.placed.key);
-        // One that came back has been moved, for all that its scout knows.
-        if scout && self.refusing.is_none() {
+        let scout_alive = self.relay.fleet().has_live_scout(now, self.placed.key);
+        // But a run that was refused by its target and returned to its engine counts as moved for the scout.
+        if scout_alive && self.refused_target.is_none() {
             return;
         }
-        self.begin_move(MoveStep::Copy, None);
+        self.start_move_step(MoveStep::Copy, None);
     }
 
-    fn begin_move(&mut self, step: MoveStep, target: Option<PlacedRequest>) {
+    fn start_move_step(&mut self, step: MoveStep, target: Option<PlacedRequest>) {
         let target = match target {
             Some(target) => target,
             None => {
-                // Between regions a copy takes ten times as long, which is more than there is.
+                // Copies stay within the region. Between regions they take ten times as long, more than the time left.
                 let zone = self.placed.record.zone.clone();
-                let tried: Vec<ServerKey> =
-                    [self.placed.key].into_iter().chain(self.refusing).collect();
+                let tried: Vec<ServerKey> = [self.placed.key]
+                    .into_iter()
+                    .chain(self.refused_target)
+                    .collect();
                 let regions = self.relay.table().regions_now(&self.call.admitted);
-                let need = PlacementRequest {
+                let request = PlacementRequest {
                     tried: &tried,
                     zone: Some(&zone),
                     regions: &regions,
                     ..PlacementRequest::new(&self.call.service, 0, self.tokens)
                 };
-                let Ok(target) = self.relay.place(&need, &self.call.spec, None) else {
+                let Ok(target) = self.relay.place(&request, &self.call.spec, None) else {
                     return;
                 };
                 self.relay
@@ -92,15 +98,15 @@
         let id = self.call.head.id.clone().unwrap_or_default();
         let (source, address) = (self.placed.record.address, target.record.address);
         let outcome = async move { engines.move_run(source, &id, address, step).await };
-        self.moving = Some(Move {
+        self.moving = Some(PendingMove {
             target,
             step,
             outcome: Box::pin(outcome),
         });
     }
 
-    /// Goes on after a step of a move; `false` where the run is lost.
-    pub(crate) async fn moved(&mut self, outcome: Result<Copied, MoveError>) -> bool {
+    /// Continues after a step of a move. Returns `false` if the run is lost.
+    pub(crate) async fn finish_move_step(&mut self, outcome: Result<Copied, MoveError>) -> bool {
         let Some(moving) = self.moving.take() else {
             return true;
         };
@@ -113,19 +119,24 @@
         match (step, outcome) {
             (MoveStep::Copy, Ok(copied)) => {
                 tracing::info!(id, from, to, events = copied.events, "move: copied");
-                self.begin_move(MoveStep::Stop, Some(moving.target));
+                self.start_move_step(MoveStep::Stop, Some(moving.target));
                 true
             }
             (MoveStep::Stop, Ok(copied)) => {
                 self.read_tail().await;
-                self.resume(moving.target, &copied.handle).await
+                self.resume_at(moving.target, &copied.handle).await
             }
             (MoveStep::Stop, Err(MoveError::NoRoom(Some(handle)))) => {
-                tracing::info!(id, from, to, "move: no room, the run goes on where it was");
+                tracing::info!(
+                    id,
+                    from,
+                    to,
+                    "move: no room at the target, the run resumes at its engine"
+                );
                 self.relay.metrics().count_move("no_room");
                 self.failed_moves += 1;
                 self.read_tail().await;
-                self.go_back(&handle).await
+                self.resume_at_source(&handle).await
             }
             (_, Err(error)) => {
                 tracing::info!(id, from, to, ?step, %error, "move: a step failed");
@@ -136,9 +147,9 @@
         }
     }
 
-    /// Reads the events of a stopped run that are still on their way.
+    /// Forwards the events of a stopped run that are still in transit.
     async fn read_tail(&mut self) {
-        let until = Instant::now() + TAIL_TIME;
+        let until = Instant::now() + TAIL_TIMEOUT;
         while let Some((body, _)) = &mut self.source {
             let frame = timeout_at(until, body.frame()).await;
             let Ok(Some(Ok(frame))) = frame else {
@@ -153,25 +164,25 @@
         self.events.discard_partial();
     }
 
-    /// Goes on at the target; where that refuses, at the engine that stopped.
-    async fn resume(&mut self, target: PlacedRequest, handle: &Name) -> bool {
-        let before = self.latest;
+    /// Resumes the run at the target or, if the target refuses it, at the engine that stopped it.
+    async fn resume_at(&mut self, target: PlacedRequest, handle: &Name) -> bool {
+        let paused_since = self.last_event_at;
         let from = self.placed.record.address;
-        let begin = self.memory(from, handle);
-        match send_on(&self.relay, &self.call, &target, begin).await {
+        let start = self.start_from_memory(from, handle);
+        match resume_run(&self.relay, &self.call, &target, start).await {
             Ok(answered) => {
                 self.relay.metrics().count_move("done");
-                self.refusing = None;
+                self.refused_target = None;
                 self.placed = target;
-                self.go_on(before, answered);
+                self.continue_with(paused_since, answered);
                 true
             }
             Err(NoAnswer::Refused | NoAnswer::Unreached | NoAnswer::Elsewhere) => {
                 self.relay.metrics().count_move("refused");
                 self.failed_moves += 1;
                 tracing::info!(id = self.call.id(), target = %target.record.address, "move: the target did not take the run");
-                self.refusing = Some(target.key);
-                self.go_back(handle).await
+                self.refused_target = Some(target.key);
+                self.resume_at_source(handle).await
             }
             Err(NoAnswer::Unknown | NoAnswer::Silent | NoAnswer::TimeOver) => {
                 self.relay.metrics().count_move("lost");
@@ -180,40 +191,45 @@
         }
     }
 
-    async fn go_back(&mut self, handle: &Name) -> bool {
-        let before = self.latest;
+    /// Resumes a stopped run at its own engine. Returns `false` if the run is lost.
+    async fn resume_at_source(&mut self, handle: &Name) -> bool {
+        let paused_since = self.last_event_at;
         let key = self.placed.key;
         let regions = self.relay.table().regions_now(&self.call.admitted);
         if !self.relay.fleet().is_permitted_at(key, &regions) {
             tracing::info!(
                 id = self.call.id(),
                 ?key,
-                "move: the run may not go on in its zone or region"
+                "move: the run is not permitted to resume in its zone or region"
             );
             return false;
         }
         let from = self.placed.record.address;
-        let begin = self.memory(from, handle);
-        match send_on(&self.relay, &self.call, &self.placed, begin).await {
+        let start = self.start_from_memory(from, handle);
+        match resume_run(&self.relay, &self.call, &self.placed, start).await {
             Ok(answered) => {
-                self.go_on(before, answered);
+                self.continue_with(paused_since, answered);
                 true
             }
             Err(_) => {
-                tracing::info!(id = self.call.id(), ?key, "move: the run could not go on");
+                tracing::info!(
+                    id = self.call.id(),
+                    ?key,
+                    "move: the run could not be resumed at its engine"
+                );
                 false
             }
         }
     }
 
-    /// The memory of the run that the engine at `from` holds.
-    fn memory(&self, from: SocketAddr, handle: &Name) -> Begin {
-        // Counted against the service's bound like any other further send, but never held back: the
-        // run would be lost, and its caller would send the whole again.
+    /// Builds the start of a run from the memory that the engine at `from` holds.
+    fn start_from_memory(&self, from: SocketAddr, handle: &Name) -> RunStart {
+        // Counts against the service's retry limit like any other retry, but is sent even beyond it: otherwise the run
+        // would be lost, and its caller would send the whole request again.
         if !self.relay.try_retry(&self.call.service, 0.0) {
             self.relay.metrics().count_retry("move_over_bound");
         }
-        Begin::Moved {
+        RunStart::Moved {
             memory: RunMemory {
                 from,
                 handle: handle.clone(),
@@ -222,8 +238,8 @@
         }
     }
 
-    /// The stream broke. While a move stops the run that is as it should be.
-    pub(crate) async fn survives_loss(&mut self) -> bool {
+    /// Handles a broken stream, which is expected while a move stops the run. Returns `false` if the run is lost.
+    pub(crate) async fn recover_from_loss(&mut self) -> bool {
         let stopping = self
             .moving
             .as_ref()
@@ -231,19 +247,19 @@
         self.source = None;
         self.events.discard_partial();
         if !stopping {
-            return self.was_moved().await;
+            return self.follow_move().await;
         }
         let Some(moving) = &mut self.moving else {
             return false;
         };
         match timeout(self.call.time_left(), moving.outcome.as_mut()).await {
-            Ok(outcome) => self.moved(outcome).await,
+            Ok(outcome) => self.finish_move_step(outcome).await,
             Err(_) => false,
         }
     }
 
-    /// The stream ended without its end: goes on where a scout has moved the run, if one has.
-    async fn was_moved(&mut self) -> bool {
+    /// Resumes a run whose stream was cut off, if a scout has moved it. Returns `false` if not, or if the run is lost.
+    async fn follow_move(&mut self) -> bool {
         let Some(id) = self.call.head.id.clone() else {
             return false;
         };
@@ -254,7 +270,7 @@
         tracing::info!(id = self.call.id(), from = %engine, to = ?moved.target, "move: the run goes on elsewhere");
         let MovedRun { target, handle, .. } = moved;
         let regions = self.relay.table().regions_now(&self.call.admitted);
-        let need = PlacementRequest {
+        let request = PlacementRequest {
             regions: &regions,
             ..PlacementRequest::new(&self.call.service, 0, self.tokens)
         };
@@ -264,10 +280,10 @@
                 service: self.call.service.clone(),
                 zone: self.placed.record.zone.clone(),
             };
-            let placed = self.relay.place_moved(&engine, &need);
+            let placed = self.relay.place_moved(&engine, &request);
             if placed.is_none() {
-                // The run may not go there: from where it goes back to, it is moved elsewhere.
-                self.refusing = self.relay.fleet().key_at(address);
+                // The run is not permitted there. It resumes at its own engine, and this relay moves it elsewhere.
+                self.refused_target = self.relay.fleet().key_at(address);
             }
             placed
         });
@@ -275,21 +291,21 @@
             self.relay.announce_sent(target, self.call.head.id.as_ref());
         }
         match target {
-            Some(target) => self.resume(target, &handle).await,
-            None => self.go_back(&handle).await,
+            Some(target) => self.resume_at(target, &handle).await,
+            None => self.resume_at_source(&handle).await,
         }
     }
 
-    /// How much longer the run is expected to take.
-    fn rest(&self) -> Duration {
+    /// Estimates how much longer the run takes.
+    fn expected_remaining_time(&self) -> Duration {
         let stride = self.call.tokens_per_event();
-        let made = self.events.count() as u32;
-        let token = match made {
-            0 | 1 => TOKEN_TIME,
-            made => self.latest.duration_since(self.first) / ((made - 1) * stride),
+        let made_events = self.events.count() as u32;
+        let token_time = match made_events {
+            0 | 1 => DEFAULT_TOKEN_TIME,
+            made => self.last_event_at.duration_since(self.first_event_at) / ((made - 1) * stride),
         };
-        let left = expected_output(&self.call).saturating_sub(made * stride);
-        // Half of the runs outlive their estimate, by about as much again.
-        token * left.max(made * stride / 2)
+        let tokens_left = expected_output(&self.call).saturating_sub(made_events * stride);
+        // Half of the runs exceed their estimated output, by about as much again.
+        token_time * tokens_left.max(made_events * stride / 2)
     }
 }
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streaming requests: the way to an engine, until its stream begins. See `stream_run` for the rest.
+//! Streaming requests, from admission until an engine's stream begins. `stream_run` relays the stream from there.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -37,51 +37,51 @@
 use crate::send::send;
 use crate::stream_run::Run;
 
-/// The part of a service's further sends that streams leave for moves of runs.
-const SPARE: f64 = 0.35;
+/// Share of a service's retry limit that streams leave to moves of runs.
+const MOVE_RESERVE: f64 = 0.35;
 
-/// Parts of an answer that wait for a caller who reads slowly.
-const WAITING_PARTS: usize = 32;
+/// Maximum number of chunks that wait for a caller who reads slowly.
+const WAITING_CHUNKS: usize = 32;
 
-/// The part of the grace that is left while a drain is early.
-const EARLY_PART: f64 = 0.7;
+/// A drain is in its early phase while more than this fraction of the grace period is left.
+const EARLY_DRAIN_FRACTION: f64 = 0.7;
 
-/// Events that a run makes in less than a second.
-const SHORT_EVENTS: u32 = 16;
+/// Maximum number of events of a short run. They take less than a second.
+const SHORT_RUN_EVENTS: u32 = 16;
 
-/// The time to the first event, as a bound: few wait longer.
-const START_TIME: Duration = Duration::from_millis(1_500);
+/// Upper estimate of the time to the first event. Few requests wait longer.
+const FIRST_EVENT_TIME: Duration = Duration::from_millis(1_500);
 
-/// The time for a token before one was seen: a step of an engine with a usual batch.
-pub(crate) const TOKEN_TIME: Duration = Duration::from_millis(10);
+/// Time per token before one was measured: a step of an engine with a typical batch.
+pub(crate) const DEFAULT_TOKEN_TIME: Duration = Duration::from_millis(10);
 
 /// Serves a streaming request.
 pub(crate) async fn serve(relay: &Arc<Relay>, call: Call) -> Response<ResponseBody> {
     if let Some(left) = relay
         .grace_left()
-        .filter(|left| outlasts(relay, &call, *left))
+        .filter(|left| may_outlast_drain(relay, &call, *left))
     {
         relay.metrics().count_refusal("draining");
         tracing::info!(
             id = call.id(),
             ?left,
-            "stream: refused, this relay may end before it does"
+            "stream: refused, it may outlast this draining relay"
         );
         return LocalResponse::NotRun(RETRY_ELSEWHERE).into_response();
     }
     let tokens = expected_tokens(&call);
-    let mut attempts = Attempts::new(SPARE);
+    let mut attempts = Attempts::new(MOVE_RESERVE);
     let mut failure: Option<Response<ResponseBody>> = None;
-    let asking = asking(relay, &call);
+    let admission = admission_request(relay, &call);
     loop {
-        let judged = relay.policy().refuse.then_some(&asking);
-        let placed = match attempts.place(relay, &call, tokens, judged).await {
+        let admission_check = relay.policy().refuse.then_some(&admission);
+        let placed = match attempts.place(relay, &call, tokens, admission_check).await {
             Ok(placed) => {
                 relay.record_usage(&call.service, call.admitted.workspace.as_ref(), tokens);
                 placed
             }
-            Err(AdmissionError::Rejected(turned)) if attempts.sends() == 0 => {
-                return turn_away(relay, &call, &asking, &turned);
+            Err(AdmissionError::Rejected(rejection)) if attempts.sends() == 0 => {
+                return reject(relay, &call, &admission, &rejection);
             }
             Err(_) => break,
         };
@@ -101,21 +101,27 @@
             "stream: placed"
         );
         let last = call.last_event_id();
-        let wait = Instant::now() + first_wait(&call, &placed);
-        let patience = (relay.policy().patience && attempts.may_retry(&call)).then_some(wait);
-        let begin = Begin::New { last, patience };
-        let outcome = note_slow(&placed, wait, send_run(relay, &call, &placed, begin)).await;
+        let first_event_deadline = Instant::now() + first_event_timeout(&call, &placed);
+        let patience =
+            (relay.policy().patience && attempts.may_retry(&call)).then_some(first_event_deadline);
+        let start = RunStart::New { last, patience };
+        let outcome = report_if_slow(
+            &placed,
+            first_event_deadline,
+            send_run(relay, &call, &placed, start),
+        )
+        .await;
         let key = placed.key;
         let send_failure = match outcome {
             Ok(answered) if answered.parts.status.is_success() => {
-                return stream(relay, call, placed, answered, tokens, attempts);
+                return start_stream(relay, call, placed, answered, tokens, attempts);
             }
             Ok(answered) => {
-                failure = Some(other(&call, placed, answered).await);
+                failure = Some(relay_failure(&call, placed, answered).await);
                 SendFailure::ServerFailed
             }
             Err(no_answer) => {
-                note(&call, &placed, no_answer);
+                record_unanswered(&call, &placed, no_answer);
                 SendFailure::NoAnswer(no_answer)
             }
         };
@@ -136,18 +142,18 @@
     build_own_answer(relay, &call, &attempts, pause)
 }
 
-fn asking(relay: &Relay, call: &Call) -> AdmissionRequest {
+fn admission_request(relay: &Relay, call: &Call) -> AdmissionRequest {
     let route = &call.admitted.route;
     AdmissionRequest {
         rank: relay.table().count_higher_priorities(&call.service, route),
-        age: age(relay, call),
+        age: time_since_first_try(relay, call),
         over_share: relay.is_over_share(&call.service, call.admitted.workspace.as_ref()),
         objective: route.objective,
     }
 }
 
-/// How long ago the caller first asked, where it was refused and is back; zero for others.
-fn age(relay: &Relay, call: &Call) -> Duration {
+/// Returns how long ago the caller first sent the request, if it was rejected and retries; otherwise zero.
+fn time_since_first_try(relay: &Relay, call: &Call) -> Duration {
     match relay.policy().returns {
         true => relay
             .recent_rejections()
@@ -156,28 +162,28 @@
     }
 }
 
-/// Refuses a request for which the engines are too crowded, at once.
-fn turn_away(
+/// Rejects a request at once because the engines are overloaded.
+fn reject(
     relay: &Relay,
     call: &Call,
-    asking: &AdmissionRequest,
-    turned: &stream_admission::Rejection,
+    admission: &AdmissionRequest,
+    rejection: &stream_admission::Rejection,
 ) -> Response<ResponseBody> {
-    let pause = relay.retry_delay(&call.service, asking, call.time_left());
+    let pause = relay.retry_delay(&call.service, admission, call.time_left());
     let now = relay.now();
     relay
         .recent_rejections()
-        .record(now, call.fingerprint(), asking.age, pause);
-    let (why, expected_load) = (turned.bottleneck.name(), &turned.expected_load);
-    let (_, age) = relay.fleet().memory_use(relay.now(), turned.server);
+        .record(now, call.fingerprint(), admission.age, pause);
+    let (why, expected_load) = (rejection.bottleneck.name(), &rejection.expected_load);
+    let (_, age) = relay.fleet().memory_use(relay.now(), rejection.server);
     relay.metrics().count_refusal(why);
     relay.metrics().count_answer("not_run");
     tracing::info!(
         id = call.id(),
         why,
-        before = asking.rank,
-        waited = asking.age.as_millis() as u64,
-        over = asking.over_share,
+        before = admission.rank,
+        waited = admission.age.as_millis() as u64,
+        over = admission.over_share,
         memory = percent(expected_load.memory),
         running = expected_load.running,
         reading = expected_load.prefill_backlog.as_millis() as u64,
@@ -189,12 +195,12 @@
     LocalResponse::NotRun(pause).into_response()
 }
 
-fn percent(part: f64) -> u64 {
-    (part * 100.0) as u64
+fn percent(fraction: f64) -> u64 {
+    (fraction * 100.0) as u64
 }
 
-/// Tells of a send that brought no answer.
-pub(crate) fn note(call: &Call, placed: &PlacedRequest, no_answer: NoAnswer) {
+/// Logs a send that failed without an answer, and records the failure of the server.
+pub(crate) fn record_unanswered(call: &Call, placed: &PlacedRequest, no_answer: NoAnswer) {
     let word = match no_answer {
         NoAnswer::Refused => "refused by the server",
         NoAnswer::Unreached => "server not reached",
@@ -212,20 +218,20 @@
     tracing::info!(id = call.id(), server = %placed.record.id, waited, "stream: {word}");
 }
 
-/// How long the first event is awaited before the engine counts as making no progress.
-fn first_wait(call: &Call, placed: &PlacedRequest) -> Duration {
+/// Returns how long to wait for the first event before the engine counts as making no progress.
+fn first_event_timeout(call: &Call, placed: &PlacedRequest) -> Duration {
     progress_timeout::first_event(call.admitted.route.objective, placed.prefill_backlog())
 }
 
-/// Waits for the outcome of a send, and notes where it has not come at `wait`. An engine that hangs is known
-/// by that alone where the request may be sent nowhere else, seconds before its caller gives it up.
-async fn note_slow<T>(
+/// Waits for the outcome of a send, and reports the engine as slow if there is none by the `deadline`. If the request
+/// may not be sent elsewhere, this is the only sign that the engine hangs until the caller gives up seconds later.
+async fn report_if_slow<T>(
     placed: &PlacedRequest,
-    wait: Instant,
+    deadline: Instant,
     outcome: impl Future<Output = T>,
 ) -> T {
     tokio::pin!(outcome);
-    match timeout_at(wait, &mut outcome).await {
+    match timeout_at(deadline, &mut outcome).await {
         Ok(outcome) => outcome,
         Err(_) => {
             placed.report_stall();
@@ -234,11 +240,12 @@
     }
 }
 
-/// Tokens that the request is expected to hold at its end.
+/// Returns the number of tokens that the request is expected to hold at its end.
 fn expected_tokens(call: &Call) -> u64 {
     u64::from(call.head.prompt) + u64::from(expected_output(call))
 }
 
+/// Estimates the number of output tokens: as hinted by the caller, or half of the maximum.
 pub(crate) fn expected_output(call: &Call) -> u32 {
     call.head
         .hint
@@ -246,50 +253,50 @@
         .min(call.head.output)
 }
 
-/// Whether the stream may take longer than the relay, which drains, is `left`. Early in the drain its
-/// expected length counts, and few are longer by all that is left; later the longest that it may have,
-/// since a wrong estimate would be cut.
-fn outlasts(relay: &Relay, call: &Call, left: Duration) -> bool {
-    let early = left > relay.grace().mul_f64(EARLY_PART);
+/// Whether the stream may take longer than the time `left` to this draining relay. Early in the drain this is judged by
+/// the expected output, since few streams exceed it by all the time that is left. Later it is judged by the maximum
+/// output, since a stream that exceeds its estimate would be cut off.
+fn may_outlast_drain(relay: &Relay, call: &Call, left: Duration) -> bool {
+    let early = left > relay.grace().mul_f64(EARLY_DRAIN_FRACTION);
     let tokens = match early {
         true => expected_output(call),
         false => call.head.output,
     };
-    START_TIME + TOKEN_TIME * tokens > left
+    FIRST_EVENT_TIME + DEFAULT_TOKEN_TIME * tokens > left
 }
 
-/// Whether the run is expected to end before an engine that says it leaves is gone.
+/// Whether the run is expected to end before an engine that announces its shutdown is gone.
 fn is_short(call: &Call) -> bool {
-    expected_output(call) / call.tokens_per_event() <= SHORT_EVENTS
+    expected_output(call) / call.tokens_per_event() <= SHORT_RUN_EVENTS
 }
 
-/// How a run begins at an engine.
-pub(crate) enum Begin {
-    /// Anew, after the caller's last event; given up where nothing has come at `patience`.
+/// How a run starts at an engine.
+pub(crate) enum RunStart {
+    /// As a new run, after the caller's last event. Abandoned if the engine has not begun to answer at `patience`.
     New {
         last: Name,
         patience: Option<Instant>,
     },
-    /// With the memory of a run that began elsewhere, after its last event.
+    /// From the memory of a run at another engine, after its last event.
     Moved { memory: RunMemory, last: Name },
 }
 
-/// Sends the request to an engine, over the connection that was opened ahead of a move if one was.
+/// Sends the request to an engine. Uses the connection that was opened ahead of a move, if there is one.
 pub(crate) async fn send_run(
     relay: &Relay,
     call: &Call,
     placed: &PlacedRequest,
-    begin: Begin,
+    start: RunStart,
 ) -> Result<StartedAnswer, NoAnswer> {
-    let ahead = match (&begin, &call.head.id) {
-        (Begin::Moved { .. }, Some(id)) => relay
+    let ahead = match (&start, &call.head.id) {
+        (RunStart::Moved { .. }, Some(id)) => relay
             .moved_runs()
             .take_connection(id, placed.record.address),
         _ => None,
     };
-    let (memory, last, patience) = match begin {
-        Begin::New { last, patience } => (None, last, patience),
-        Begin::Moved { memory, last } => (Some(memory), last, None),
+    let (memory, last, patience) = match start {
+        RunStart::New { last, patience } => (None, last, patience),
+        RunStart::Moved { memory, last } => (Some(memory), last, None),
     };
     let dispatch = Dispatch {
         server: Fleet::expected_id(&placed.record),
@@ -303,8 +310,8 @@
     send(relay, call, placed, &dispatch, ahead, patience).await
 }
 
-/// Relays an answer that is no stream: a failure of the engine's own.
-async fn other(
+/// Relays an answer that is not a stream: the engine ran the request and failed.
+async fn relay_failure(
     call: &Call,
     placed: PlacedRequest,
     answered: StartedAnswer,
@@ -317,10 +324,10 @@
         _ => return LocalResponse::Failed.into_response(),
     };
     drop(answered.connection);
-    respond(&answered.parts, ResponseBody::full(bytes))
+    response_from(&answered.parts, ResponseBody::full(bytes))
 }
 
-fn stream(
+fn start_stream(
     relay: &Arc<Relay>,
     call: Call,
     placed: PlacedRequest,
@@ -328,14 +335,14 @@
     tokens: u64,
     attempts: Attempts,
 ) -> Response<ResponseBody> {
-    let (sender, receiver) = mpsc::channel(WAITING_PARTS);
-    let response = respond(&answered.parts, ResponseBody::from_channel(receiver));
+    let (sender, receiver) = mpsc::channel(WAITING_CHUNKS);
+    let response = response_from(&answered.parts, ResponseBody::from_channel(receiver));
     let run = Run::new(relay, call, placed, answered, tokens, attempts, sender);
-    tokio::spawn(run.pump());
+    tokio::spawn(run.relay_to_end());
     response
 }
 
-fn respond(parts: &Parts, body: ResponseBody) -> Response<ResponseBody> {
+fn response_from(parts: &Parts, body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = parts.status;
     *response.headers_mut() = returned_headers(&parts.headers);
--- a/relay/src/stream_run.rs
+++ b/relay/src/stream_run.rs
@@ -1,4 +1,4 @@
-//! A run of a stream: its events relayed as they come, through the moves to other engines.
+//! Relays the events of a run as they arrive, across moves of the run to other engines.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -28,66 +28,67 @@
 use crate::relay::Relay;
 use crate::send::NoAnswer;
 use crate::send::StartedAnswer;
-use crate::stream::Begin;
-use crate::stream::note;
+use crate::stream::RunStart;
+use crate::stream::record_unanswered;
 use crate::stream::send_run;
 use crate::upstream::Connection;
 
-type Moving = Pin<Box<dyn Future<Output = Result<Copied, MoveError>> + Send>>;
+type MoveFuture = Pin<Box<dyn Future<Output = Result<Copied, MoveError>> + Send>>;
 
-/// A run and its way to the caller.
+/// A streamed run, and the state of relaying it to its caller.
 pub(crate) struct Run {
     pub(crate) relay: Arc<Relay>,
     pub(crate) call: Call,
     pub(crate) placed: PlacedRequest,
-    // Tokens that it is expected to hold at its end.
+    // Tokens that the run is expected to hold at its end.
     pub(crate) tokens: u64,
     pub(crate) attempts: Attempts,
-    // `None` while it has stopped at one engine and not begun at the next.
+    // `None` after the run has stopped at one engine and before it has started at the next.
     pub(crate) source: Option<(Incoming, Connection)>,
     pub(crate) events: EventSplitter,
     pub(crate) sender: mpsc::Sender<Result<Bytes, StreamAborted>>,
-    // When the answer began, and when the latest event came.
-    pub(crate) first: Instant,
-    pub(crate) latest: Instant,
-    // The longest pause between two events.
-    pub(crate) longest: Duration,
-    // When the run that goes on now began at its engine.
-    pub(crate) begun: Instant,
-    pub(crate) moving: Option<Move>,
+    // When the first and the latest event arrived; until the first event, when the answer began.
+    pub(crate) first_event_at: Instant,
+    pub(crate) last_event_at: Instant,
+    // Longest gap between two events.
+    pub(crate) longest_gap: Duration,
+    // When the run started or was resumed at its present engine.
+    pub(crate) started_at: Instant,
+    pub(crate) moving: Option<PendingMove>,
     pub(crate) failed_moves: u32,
-    // When a run whose engine leaves is to be looked at again: events come faster than that.
-    pub(crate) look_again: Instant,
-    // Tells that word of the run's moves is wanted here.
+    // When to consider a move again while the engine drains. A point in time, because events arrive faster than a
+    // timer that starts anew at each of them would elapse.
+    pub(crate) next_move_check: Instant,
+    // Registers this relay for notices of the run's moves.
     pub(crate) _registration: Option<LocalRunGuard>,
-    // The target that did not take the run, since when it runs on at an engine that may be leaving.
-    pub(crate) refusing: Option<ServerKey>,
-    // When the last event before a move came, until the first one after it.
-    pub(crate) resumed: Option<Instant>,
+    // The target that refused the run, or may not take it. The run then resumed at an engine that may be draining.
+    pub(crate) refused_target: Option<ServerKey>,
+    // When the last event before an interruption arrived. Cleared by the first event after it.
+    pub(crate) paused_since: Option<Instant>,
 }
 
-/// A move under way.
-pub(crate) struct Move {
+/// A step of a move in progress.
+pub(crate) struct PendingMove {
     pub(crate) target: PlacedRequest,
     pub(crate) step: MoveStep,
-    pub(crate) outcome: Moving,
+    pub(crate) outcome: MoveFuture,
 }
 
-/// What a stream's task woke for.
+/// Why the task of a stream woke up.
 enum Wake {
     CallerGone,
     TimeOver,
     Data(Bytes),
     End,
     Lost,
-    Leaving,
-    Silent,
-    Moved(Result<Copied, MoveError>),
+    ConsiderMove,
+    NoProgress,
+    MoveStepDone(Result<Copied, MoveError>),
 }
 
-/// How a run ended.
+/// How a stream ended.
 #[derive(Clone, Copy, Debug)]
-enum Ending {
+enum StreamEnd {
     Complete,
     CallerGone,
     TimeOver,
@@ -95,7 +96,7 @@
 }
 
 impl Run {
-    /// The run whose answer has begun.
+    /// Creates the state of a run whose answer has begun.
     pub(crate) fn new(
         relay: &Arc<Relay>,
         call: Call,
@@ -121,28 +122,28 @@
             source: Some((answered.body, answered.connection)),
             events,
             sender,
-            first: now,
-            latest: now,
-            longest: Duration::ZERO,
-            begun: now,
+            first_event_at: now,
+            last_event_at: now,
+            longest_gap: Duration::ZERO,
+            started_at: now,
             moving: None,
             failed_moves: 0,
-            look_again: now,
+            next_move_check: now,
             _registration: registration,
-            refusing: None,
-            resumed: None,
+            refused_target: None,
+            paused_since: None,
         }
     }
 
-    /// Relays the run's events to its end.
-    pub(crate) async fn pump(mut self) {
+    /// Relays the events of the run until the stream ends.
+    pub(crate) async fn relay_to_end(mut self) {
         let mut leaving = self.relay.subscribe_leaving();
         let ending = self.relay_events(&mut leaving).await;
         let word = match ending {
-            Ending::Complete => "complete",
-            Ending::CallerGone => "caller_gone",
-            Ending::TimeOver => "time_over",
-            Ending::Lost => "lost",
+            StreamEnd::Complete => "complete",
+            StreamEnd::CallerGone => "caller_gone",
+            StreamEnd::TimeOver => "time_over",
+            StreamEnd::Lost => "lost",
         };
         self.relay.metrics().count_answer(word);
         let events = self.events.count();
@@ -153,61 +154,66 @@
             server,
             word,
             events,
-            first = self.first.duration_since(self.call.arrived).as_millis() as u64,
-            longest = self.longest.as_millis() as u64,
+            first = self
+                .first_event_at
+                .duration_since(self.call.arrived)
+                .as_millis() as u64,
+            longest = self.longest_gap.as_millis() as u64,
             waited,
             "stream: ended"
         );
         match ending {
-            Ending::Complete => {
+            StreamEnd::Complete => {
                 self.placed.record_success();
                 let rest = self.events.take_remainder();
                 if !rest.is_empty() {
                     drop(self.sender.send(Ok(rest)).await);
                 }
             }
-            Ending::CallerGone => {}
-            Ending::TimeOver | Ending::Lost => {
+            StreamEnd::CallerGone => {}
+            StreamEnd::TimeOver | StreamEnd::Lost => {
                 drop(self.sender.send(Err(StreamAborted)).await);
             }
         }
     }
 
-    async fn relay_events(&mut self, leaving: &mut watch::Receiver<u64>) -> Ending {
+    async fn relay_events(&mut self, leaving: &mut watch::Receiver<u64>) -> StreamEnd {
         self.consider_move();
         loop {
-            match self.wake(leaving).await {
-                Wake::CallerGone => return Ending::CallerGone,
-                Wake::TimeOver => return Ending::TimeOver,
+            match self.next_wake(leaving).await {
+                Wake::CallerGone => return StreamEnd::CallerGone,
+                Wake::TimeOver => return StreamEnd::TimeOver,
                 Wake::Data(data) => {
                     if !self.forward(&data).await {
-                        return Ending::CallerGone;
+                        return StreamEnd::CallerGone;
                     }
                 }
-                Wake::End => return Ending::Complete,
+                Wake::End => return StreamEnd::Complete,
                 Wake::Lost => {
-                    if !self.survives_loss().await && !self.begin_again(NoAnswer::Unknown).await {
-                        return Ending::Lost;
+                    if !self.recover_from_loss().await && !self.restart(NoAnswer::Unknown).await {
+                        return StreamEnd::Lost;
                     }
                 }
-                Wake::Leaving => self.consider_move(),
-                Wake::Silent => {
-                    if !self.begin_again(NoAnswer::Silent).await {
-                        return Ending::Lost;
+                Wake::ConsiderMove => self.consider_move(),
+                Wake::NoProgress => {
+                    if !self.restart(NoAnswer::Silent).await {
+                        return StreamEnd::Lost;
                     }
                 }
-                Wake::Moved(outcome) => {
-                    if !self.moved(outcome).await && !self.begin_again(NoAnswer::Unknown).await {
-                        return Ending::Lost;
+                Wake::MoveStepDone(outcome) => {
+                    if !self.finish_move_step(outcome).await
+                        && !self.restart(NoAnswer::Unknown).await
+                    {
+                        return StreamEnd::Lost;
                     }
                 }
             }
         }
     }
 
-    async fn wake(&mut self, leaving: &mut watch::Receiver<u64>) -> Wake {
-        let recheck = self.placed.leaving_since().is_some() && self.moving.is_none();
-        let silent = self.silent_at();
+    async fn next_wake(&mut self, leaving: &mut watch::Receiver<u64>) -> Wake {
+        let check_move = self.placed.leaving_since().is_some() && self.moving.is_none();
+        let deadline = self.progress_deadline();
         let moving = async {
             match &mut self.moving {
                 Some(moving) => moving.outcome.as_mut().await,
@@ -228,34 +234,34 @@
                 Some(Err(_)) => Wake::Lost,
                 Some(Ok(frame)) => Wake::Data(frame.into_data().unwrap_or_default()),
             },
-            outcome = moving => Wake::Moved(outcome),
-            _ = leaving.changed() => Wake::Leaving,
-            () = sleep_until(self.look_again), if recheck => Wake::Leaving,
-            () = sleep_until(silent.unwrap_or(self.call.timer_deadline)), if silent.is_some() => Wake::Silent,
+            outcome = moving => Wake::MoveStepDone(outcome),
+            _ = leaving.changed() => Wake::ConsiderMove,
+            () = sleep_until(self.next_move_check), if check_move => Wake::ConsiderMove,
+            () = sleep_until(deadline.unwrap_or(self.call.timer_deadline)), if deadline.is_some() => Wake::NoProgress,
             () = sleep_until(self.call.timer_deadline) => Wake::TimeOver,
         }
     }
 
-    /// Passes whole events on; `false` where the caller has gone.
+    /// Forwards whole events to the caller. Returns `false` if the caller is gone, or if an event is too long.
     pub(crate) async fn forward(&mut self, data: &[u8]) -> bool {
         let Some(whole) = self.events.push(data) else {
             return !self.events.is_partial_too_long();
         };
         let now = Instant::now();
-        let pause = now.duration_since(self.latest);
-        self.latest = now;
-        if self.first_event() {
+        let since_last = now.duration_since(self.last_event_at);
+        self.last_event_at = now;
+        if self.is_first_event() {
             self.placed.record_first_event();
-            self.first = now;
+            self.first_event_at = now;
             let took = self.call.arrived.elapsed();
             self.relay.metrics().observe_first_response(took);
             let expected = self.placed.basis.prefill_backlog;
             self.relay.metrics().count_first_event(expected, took);
         } else {
-            self.longest = self.longest.max(pause);
+            self.longest_gap = self.longest_gap.max(since_last);
         }
-        if let Some(before) = self.resumed.take() {
-            let gap = before.elapsed();
+        if let Some(since) = self.paused_since.take() {
+            let gap = since.elapsed();
             self.relay.metrics().observe_move_gap(gap);
             let gap = gap.as_millis() as u64;
             tracing::info!(id = self.call.id(), gap, server = %self.placed.record.id, "move: went on");
@@ -263,39 +269,39 @@
         self.sender.send(Ok(whole)).await.is_ok()
     }
 
-    /// When the run is given up at its engine for making no progress. `None` where it may go on nowhere
-    /// else, or is being moved.
-    fn silent_at(&self) -> Option<Instant> {
+    /// Returns when the run is abandoned at its engine for lack of progress. `None` if it cannot be resumed elsewhere,
+    /// or is being moved.
+    fn progress_deadline(&self) -> Option<Instant> {
         let policy = self.relay.policy();
-        let may = policy.resume && policy.patience && self.attempts.may_retry(&self.call);
-        if self.moving.is_some() || !may {
+        let resumable = policy.resume && policy.patience && self.attempts.may_retry(&self.call);
+        if self.moving.is_some() || !resumable {
             return None;
         }
         let route = &self.call.admitted.route;
         let reading = self.placed.prefill_backlog();
-        Some(match self.latest > self.begun {
-            true => self.latest + progress_timeout::next_event(route.event_gap, reading),
-            false => self.begun + progress_timeout::first_event(route.objective, reading),
+        Some(match self.last_event_at > self.started_at {
+            true => self.last_event_at + progress_timeout::next_event(route.event_gap, reading),
+            false => self.started_at + progress_timeout::first_event(route.objective, reading),
         })
     }
 
-    fn first_event(&self) -> bool {
+    fn is_first_event(&self) -> bool {
         self.events.count() <= 1
     }
 
-    /// Begins another run after the last event, at another engine: the one that made the stream so far has
-    /// died or hangs, and nothing of its memory is left. `false` where the stream may not be resumed.
-    async fn begin_again(&mut self, no_answer: NoAnswer) -> bool {
+    /// Starts a new run at another engine, after the last event. The previous engine has died or hangs, and the memory
+    /// of its run is lost. Returns `false` if the stream cannot be resumed.
+    async fn restart(&mut self, no_answer: NoAnswer) -> bool {
         self.moving = None;
-        // Closing the connection ends the run there.
+        // Closing the connection cancels the run at its engine.
         self.source = None;
         self.events.discard_partial();
-        let before = self.latest;
+        let paused_since = self.last_event_at;
         let mut send_failure = SendFailure::NoAnswer(no_answer);
         self.placed.record_failure(false);
         let mut key = self.placed.key;
-        let may = self.relay.policy().resume;
-        while may
+        let may_resume = self.relay.policy().resume;
+        while may_resume
             && self
                 .attempts
                 .retry_after_failure(&self.relay, &self.call, key, send_failure)
@@ -312,19 +318,19 @@
             let events = self.events.count();
             let why = format!("{no_answer:?}");
             tracing::info!(id, from, to, events, why, "stream: resumed in another run");
-            let begin = Begin::New {
+            let start = RunStart::New {
                 last: self.events.last_id().clone(),
                 patience: None,
             };
             key = placed.key;
-            match send_on(&self.relay, &self.call, &placed, begin).await {
+            match resume_run(&self.relay, &self.call, &placed, start).await {
                 Ok(answered) => {
                     self.placed = placed;
-                    self.go_on(before, answered);
+                    self.continue_with(paused_since, answered);
                     return true;
                 }
                 Err(no_answer) => {
-                    note(&self.call, &placed, no_answer);
+                    record_unanswered(&self.call, &placed, no_answer);
                     send_failure = SendFailure::NoAnswer(no_answer);
                 }
             }
@@ -332,22 +338,23 @@
         false
     }
 
-    pub(crate) fn go_on(&mut self, before: Instant, answered: StartedAnswer) {
+    /// Continues with the answer of the engine at which the run was resumed, and records since when it was paused.
+    pub(crate) fn continue_with(&mut self, paused_since: Instant, answered: StartedAnswer) {
         self.placed.record_first_event();
         self.source = Some((answered.body, answered.connection));
-        self.resumed = Some(before);
-        self.begun = Instant::now();
+        self.paused_since = Some(paused_since);
+        self.started_at = Instant::now();
     }
 }
 
-/// Sends a run on. An engine's own failure means that it has not gone on, and may have begun to.
-pub(crate) async fn send_on(
+/// Resumes a run at an engine. If the engine answers with a failure, the run may or may not have been resumed there.
+pub(crate) async fn resume_run(
     relay: &Relay,
     call: &Call,
     target: &PlacedRequest,
-    begin: Begin,
+    start: RunStart,
 ) -> Result<StartedAnswer, NoAnswer> {
-    let answered = send_run(relay, call, target, begin).await?;
+    let answered = send_run(relay, call, target, start).await?;
     match answered.parts.status.is_success() {
         true => Ok(answered),
         false => Err(NoAnswer::Unknown),
