--- a/relay/src/answer.rs
+++ b/relay/src/answer.rs
@@ -126,7 +126,7 @@
     InvalidKey,
     /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The request is malformed or ambiguous.
+    /// The request is malformed, or can be parsed in two ways.
     BadRequest,
     /// The request did not run and never will; the caller may retry after this time.
     NotRun(Duration),
--- a/relay/src/run_moves.rs
+++ b/relay/src/run_moves.rs
@@ -73,7 +73,8 @@
         let target = match target {
             Some(target) => target,
             None => {
-                // Copies stay within the region. Between regions they take ten times as long, more than the time left.
+                // Only targets in the engine's own availability zone: a copy to another region takes ten times as long, more
+                // than the time left.
                 let zone = self.placed.record.zone.clone();
                 let tried: Vec<ServerKey> = [self.placed.key]
                     .into_iter()
