--- a/relay/src/peer_net.rs
+++ b/relay/src/peer_net.rs
@@ -39,7 +39,7 @@
 /// retry sooner than after 200 ms.
 const REJECTIONS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Number of relays that a hello names.
+/// Maximum number of other relays that a hello names.
 const MAX_NAMED_RELAYS: usize = 4;
 
 /// Maximum number of neighbours that a subscription names: they fit into a datagram, and runs are never moved
--- a/relay/src/scout.rs
+++ b/relay/src/scout.rs
@@ -190,8 +190,8 @@
             Ok(Datagram::Ended(notice)) if notice.engine == self.engine.address => {
                 self.outcomes.record(self.clock.now(), notice.well);
             }
-            Ok(Datagram::Ask(ask)) if ask.engine == self.engine.address => {
-                self.answer_probe(from, ask).await;
+            Ok(Datagram::Ask(probe)) if probe.engine == self.engine.address => {
+                self.answer_probe(from, probe).await;
             }
             Ok(Datagram::WasMoved(id)) => {
                 if let Some(moved) = self.past_moves.iter().find(|moved| moved.id == id) {
@@ -206,7 +206,7 @@
 
     /// Answers the load probe of a relay that is about to place a request. Without a recent poll of the
     /// engine it sends no answer, so that the relay chooses another engine.
-    async fn answer_probe(&mut self, from: SocketAddr, ask: LoadAsk) {
+    async fn answer_probe(&mut self, from: SocketAddr, probe: LoadAsk) {
         // The relay may place a request here, and must then learn when the engine leaves.
         self.subscribers.entry(from).or_insert_with(Instant::now);
         let now = self.clock.now();
@@ -215,9 +215,12 @@
         let Some((_, report)) = fresh.cloned() else {
             return;
         };
-        let report = self.make_report(&report, Some(&ask.id));
-        self.load_tracker.reserve(now, &ask);
-        let datagram = Datagram::Answer(LoadAnswer { id: ask.id, report });
+        let report = self.make_report(&report, Some(&probe.id));
+        self.load_tracker.reserve(now, &probe);
+        let datagram = Datagram::Answer(LoadAnswer {
+            id: probe.id,
+            report,
+        });
         self.socket.send(&datagram, &[from]).await;
     }
 
