--- a/lib/tests/placement.rs
+++ b/lib/tests/placement.rs
@@ -9,8 +9,8 @@
 use cicada_lib::routing::ServerKey;
 use slotmap::SlotMap;
 
-use relays::Choice;
 use relays::Outcome;
+use relays::Strategy;
 
 mod relays;
 
@@ -19,10 +19,10 @@
 /// Intervals, in milliseconds, at which an engine reports to the same relay.
 const INTERVALS: [u64; 3] = [300, 700, 1_000];
 
-fn play(choice: Choice, interval: u64, seconds: u64) -> Vec<Outcome> {
+fn simulate(strategy: Strategy, interval: u64, seconds: u64) -> Vec<Outcome> {
     let outcomes = SEEDS.iter();
     outcomes
-        .map(|seed| relays::play(choice, interval, *seed, seconds))
+        .map(|seed| relays::simulate(strategy, interval, *seed, seconds))
         .collect()
 }
 
@@ -35,7 +35,10 @@
 /// first event late while other engines are idle.
 #[test]
 fn relays_that_choose_by_stale_reports_collide() {
-    let late = mean(&play(Choice::Reports, 700, 10), Outcome::late);
+    let late = mean(
+        &simulate(Strategy::StaleReports, 700, 10),
+        Outcome::late_share,
+    );
     assert!(late > 0.1, "{late}");
 }
 
@@ -44,9 +47,9 @@
 #[test]
 fn relays_that_probe_do_not_collide() {
     for interval in INTERVALS {
-        let outcomes = play(Choice::Asking, interval, 10);
-        let late = mean(&outcomes, Outcome::late);
-        let median = mean(&outcomes, Outcome::median);
+        let outcomes = simulate(Strategy::Probing, interval, 10);
+        let late = mean(&outcomes, Outcome::late_share);
+        let median = mean(&outcomes, Outcome::median_slowdown);
         assert!(late < 0.02, "{late} at {interval}");
         assert!(median <= 1.3, "{median} at {interval}");
     }
@@ -55,7 +58,10 @@
 /// The same load, long enough that a single prompt has little weight: no engine prefills much more than the mean.
 #[test]
 fn probing_spreads_the_load() {
-    let busiest = mean(&play(Choice::Asking, 1_000, 80), Outcome::busiest);
+    let busiest = mean(
+        &simulate(Strategy::Probing, 1_000, 80),
+        Outcome::busiest_load,
+    );
     assert!(busiest < 1.1, "{busiest}");
 }
 
--- a/lib/tests/relays/mod.rs
+++ b/lib/tests/relays/mod.rs
@@ -51,11 +51,11 @@
 
 /// How relays choose an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Choice {
+pub(crate) enum Strategy {
     /// By the latest load reports.
-    Reports,
+    StaleReports,
     /// By probing scouts.
-    Asking,
+    Probing,
 }
 
 /// Latencies of the callers and load of the engines.
@@ -68,7 +68,7 @@
 
 impl Outcome {
     /// Share of the callers whose first event missed the latency objective.
-    pub(crate) fn late(&self) -> f64 {
+    pub(crate) fn late_share(&self) -> f64 {
         let late = self
             .first_events
             .iter()
@@ -77,7 +77,7 @@
     }
 
     /// Median time to the first event, relative to an idle engine.
-    pub(crate) fn median(&self) -> f64 {
+    pub(crate) fn median_slowdown(&self) -> f64 {
         let mut ratios: Vec<f64> = self
             .first_events
             .iter()
@@ -88,7 +88,7 @@
     }
 
     /// Prompt tokens sent to the busiest engine, relative to the mean.
-    pub(crate) fn busiest(&self) -> f64 {
+    pub(crate) fn busiest_load(&self) -> f64 {
         let max = self.prompt_tokens.iter().max().copied().unwrap_or_default();
         let mean = self.prompt_tokens.iter().sum::<u64>() as f64 / self.prompt_tokens.len() as f64;
         max as f64 / mean
@@ -116,7 +116,7 @@
 struct Simulation {
     rng: fastrand::Rng,
     now: u64,
-    choice: Choice,
+    strategy: Strategy,
     interval: u64,
     relays: Vec<Fleet>,
     engines: Vec<Engine>,
@@ -129,11 +129,11 @@
 }
 
 /// Simulates the load for some seconds, with reports at the given interval in milliseconds.
-pub(crate) fn play(choice: Choice, interval: u64, seed: u64, seconds: u64) -> Outcome {
+pub(crate) fn simulate(strategy: Strategy, interval: u64, seed: u64, seconds: u64) -> Outcome {
     let mut simulation = Simulation {
         rng: fastrand::Rng::with_seed(seed),
         now: 0,
-        choice,
+        strategy,
         interval,
         relays: (0..RELAYS).map(fleet).collect(),
         engines: (0..ENGINES).map(|_| Engine::default()).collect(),
@@ -307,9 +307,9 @@
         let id = Name::new(format!("r-{}", self.request_count));
         let need = PlacementRequest::new(&service, prompt, prompt + 300);
         let now = self.time();
-        let among = match self.choice {
-            Choice::Reports => None,
-            Choice::Asking => self.probe(relay, &id, &need),
+        let among = match self.strategy {
+            Strategy::StaleReports => None,
+            Strategy::Probing => self.probe(relay, &id, &need),
         };
         let need = PlacementRequest {
             among: among.as_deref(),
