--- a/relay/src/attempts.rs
+++ b/relay/src/attempts.rs
@@ -38,7 +38,7 @@
     // Servers that ran the request and failed; chosen again only if there is no other.
     failed: Vec<ServerKey>,
     servers_chosen: usize,
-    // Sends that reached a server.
+    // Sends that count towards the route's maximum number of attempts.
     sends: u32,
     // Whether a server may have run the request.
     may_have_run: bool,
@@ -94,19 +94,19 @@
         }
     }
 
-    /// Number of sends that reached a server.
+    /// Number of sends that count towards the route's maximum number of attempts.
     pub(crate) fn sends(&self) -> u32 {
         self.sends
     }
 
-    /// Chooses the next server for a request that is expected to hold `tokens` when it ends. `asking` is given if the
+    /// Chooses the next server for a request that is expected to hold `tokens` when it ends. `admission` is given if the
     /// request is subject to admission control.
     pub(crate) async fn place(
         &mut self,
         relay: &Arc<Relay>,
         call: &Call,
         tokens: u64,
-        asking: Option<&AdmissionRequest>,
+        admission: Option<&AdmissionRequest>,
     ) -> Result<PlacedRequest, AdmissionError> {
         if self.servers_chosen >= MAX_SERVERS_CHOSEN || call.time_left().is_zero() {
             return Err(AdmissionError::NoServer(NoServer::None));
@@ -121,9 +121,9 @@
             ..PlacementRequest::new(&call.service, prompt, tokens)
         };
         let id = call.head.id.as_ref();
-        let result = match choice::place(relay, id, &need(&avoided), &call.spec, asking).await {
+        let result = match choice::place(relay, id, &need(&avoided), &call.spec, admission).await {
             Err(AdmissionError::NoServer(_)) => {
-                choice::place(relay, id, &need(&self.tried), &call.spec, asking).await
+                choice::place(relay, id, &need(&self.tried), &call.spec, admission).await
             }
             result => result,
         };
@@ -145,8 +145,8 @@
         call.is_repeatable() && attempts_left
     }
 
-    /// Records a failed send and returns whether the request may be sent once more. If it takes a retry for that, the
-    /// service's retry limit must allow it.
+    /// Records a failed send and returns whether the request may be sent again. Unless the server was unreachable, that
+    /// takes a retry, which the service's retry limit must allow.
     pub(crate) fn retry_after_failure(
         &mut self,
         relay: &Relay,
@@ -160,8 +160,8 @@
         }
         match failure {
             SendFailure::NoAnswer(NoAnswer::Unreached) => return true,
-            // The intended server is gone, so the send does not count as an attempt. It does take a
-            // retry, since the request has arrived at the service once more.
+            // The intended server is gone, so this send does not count as an attempt. The next one still takes a retry,
+            // since it is one more arrival at the service.
             SendFailure::NoAnswer(NoAnswer::Elsewhere) => return self.try_retry(relay, call),
             SendFailure::NoAnswer(NoAnswer::Refused) => self.refused = true,
             SendFailure::NoAnswer(NoAnswer::TimeOver) => {
--- a/relay/src/choice.rs
+++ b/relay/src/choice.rs
@@ -25,10 +25,10 @@
     id: Option<&Name>,
     need: &PlacementRequest<'_>,
     spec: &ServiceSpec,
-    asking: Option<&AdmissionRequest>,
+    admission: Option<&AdmissionRequest>,
 ) -> Result<PlacedRequest, AdmissionError> {
     let Some(id) = id.filter(|_| should_probe(relay, need)) else {
-        return relay.place(need, spec, asking);
+        return relay.place(need, spec, admission);
     };
     let mut tried = need.tried.to_vec();
     let mut rejection = None;
@@ -48,7 +48,7 @@
             tried: need.tried,
             ..need.clone()
         };
-        match relay.place(&next, spec, asking) {
+        match relay.place(&next, spec, admission) {
             Ok(placed) => return Ok(placed.with_probe_counts(probed.len(), answered.len())),
             Err(AdmissionError::Rejected(rejected)) => {
                 rejection.get_or_insert(rejected);
@@ -61,7 +61,7 @@
     match rejection {
         Some(rejected) => Err(AdmissionError::Rejected(rejected)),
         // All sampled engines are gone; others may still be there.
-        None => relay.place(need, spec, asking),
+        None => relay.place(need, spec, admission),
     }
 }
 
--- a/relay/src/exchange.rs
+++ b/relay/src/exchange.rs
@@ -155,6 +155,7 @@
     Ok(response.map(|body| body.with_guard(open)))
 }
 
+/// Passes the request to the handler for its kind, unless this relay is about to end.
 async fn handle(relay: &Arc<Relay>, call: Call) -> Response<ResponseBody> {
     if relay
         .grace_left()
@@ -163,7 +164,7 @@
         relay.metrics().count_refusal("draining");
         tracing::info!(
             id = call.id(),
-            "request: refused, this relay is about to end"
+            "request: rejected because this relay is about to end"
         );
         return LocalResponse::NotRun(RETRY_ELSEWHERE).into_response();
     }
@@ -175,6 +176,7 @@
     }
 }
 
+/// Reads the request and admits it to a route.
 async fn read_call(relay: &Relay, request: Request<Incoming>) -> Result<Call, LocalResponse> {
     let arrived = Instant::now();
     let arrived_at = relay.now();
@@ -254,6 +256,7 @@
     })
 }
 
+/// Reads the whole body, until `limit` at the latest.
 async fn read_body(
     mut body: Incoming,
     max_bytes: usize,
--- a/relay/src/relay.rs
+++ b/relay/src/relay.rs
@@ -316,13 +316,13 @@
 
     /// The time left until the process is killed, if it drains.
     pub(crate) fn grace_left(&self) -> Option<Duration> {
-        let begun = *lock(&self.draining);
-        begun.map(|begun| self.grace().saturating_sub(begun.elapsed()))
+        let drain_start = *lock(&self.draining);
+        drain_start.map(|drain_start| self.grace().saturating_sub(drain_start.elapsed()))
     }
 
     pub(crate) fn set_draining(&self) {
-        let mut begun = lock(&self.draining);
-        begun.get_or_insert_with(Instant::now);
+        let mut drain_start = lock(&self.draining);
+        drain_start.get_or_insert_with(Instant::now);
     }
 
     pub(crate) fn open_requests(&self) -> i64 {
--- a/relay/src/relay_places.rs
+++ b/relay/src/relay_places.rs
@@ -27,18 +27,18 @@
 use crate::relay::SentNotice;
 
 impl Relay {
-    /// Chooses a server and counts the request as sent there. If `asking` is given, the request is subject to admission
+    /// Chooses a server and counts the request as sent there. If `admission` is given, the request is subject to admission
     /// control and goes only to an engine that is not overloaded.
     pub(crate) fn place(
         self: &Arc<Self>,
         need: &PlacementRequest<'_>,
         spec: &ServiceSpec,
-        asking: Option<&AdmissionRequest>,
+        admission: Option<&AdmissionRequest>,
     ) -> Result<PlacedRequest, AdmissionError> {
         let now = self.now();
         let mut fleet = self.fleet();
-        let key = match asking {
-            Some(asking) => stream_admission::select_engine(&fleet, now, need, spec, asking)?,
+        let key = match admission {
+            Some(admission) => stream_admission::select_engine(&fleet, now, need, spec, admission)?,
             None => fleet
                 .choose(now, need, spec)
                 .map_err(AdmissionError::NoServer)?,
@@ -54,8 +54,8 @@
                 .then(|| fleet.exclusions_in_own_region(now, need, spec)),
             ..ChoiceBasis::default()
         };
-        if let Some(asking) = asking {
-            lock(&self.retry_pacer).record_admission(now, need.service, asking.rank);
+        if let Some(admission) = admission {
+            lock(&self.retry_pacer).record_admission(now, need.service, admission.rank);
         }
         fleet.record_sent(now, key, need);
         let basis = ChoiceBasis {
@@ -98,12 +98,12 @@
     pub(crate) fn retry_delay(
         &self,
         service: &Name,
-        asking: &AdmissionRequest,
+        admission: &AdmissionRequest,
         left: Duration,
     ) -> Duration {
         let now = self.now();
         let mut retry_pacer = lock(&self.retry_pacer);
-        retry_pacer.retry_delay(now, service, asking, left, fastrand::f64())
+        retry_pacer.retry_delay(now, service, admission, left, fastrand::f64())
     }
 
     /// Counts a request for the service, which raises the service's retry limit.
@@ -169,7 +169,7 @@
             to_relays: !sparse,
         };
         if self.sent_queue.try_send(sent).is_err() {
-            tracing::debug!(%engine, "peers: too many words wait, one is left out");
+            tracing::debug!(%engine, "peers: the queue of sent notices is full; one was dropped");
         }
     }
 
@@ -180,14 +180,14 @@
             .try_send(RunEnded { engine, well })
             .is_err()
         {
-            tracing::debug!(%engine, "peers: too many words wait, one is left out");
+            tracing::debug!(%engine, "peers: the queue of request outcomes is full; one was dropped");
         }
     }
 
     /// Records a request that another relay sent to an engine.
-    pub(crate) fn record_sent_elsewhere(&self, word: &SentWord) {
+    pub(crate) fn record_sent_elsewhere(&self, message: &SentWord) {
         let now = self.now();
         let mut fleet = self.fleet();
-        fleet.record_sent_elsewhere(now, word.engine, word.prompt, word.tokens);
+        fleet.record_sent_elsewhere(now, message.engine, message.prompt, message.tokens);
     }
 }
--- a/relay/src/relay_view.rs
+++ b/relay/src/relay_view.rs
@@ -84,7 +84,7 @@
     pub(crate) fn apply_peer_listing(&self, listing: &ServerListing) {
         let (revision, known) = (listing.revision, self.revision());
         if revision < known {
-            tracing::info!(%revision, %known, "directory: a list of servers passed over");
+            tracing::info!(%revision, %known, "directory: ignored an outdated list of servers");
             return;
         }
         match revision.whole {
@@ -94,11 +94,11 @@
     }
 
     /// Applies changes of the list that the directory reported, and passes them on to other relays.
-    pub fn apply_directory_changes(&self, after: Revision, news: &ServerChanges) {
-        if !news.changes.is_empty() {
+    pub fn apply_directory_changes(&self, after: Revision, update: &ServerChanges) {
+        if !update.changes.is_empty() {
             let message = ServerNews {
                 after,
-                changes: news.clone(),
+                changes: update.clone(),
             };
             if self.server_news_queue.try_send(message).is_err() {
                 tracing::debug!(
@@ -106,7 +106,7 @@
                 );
             }
         }
-        self.apply_changes(after, news);
+        self.apply_changes(after, update);
     }
 
     /// Applies changes that another relay reports, if none between them and the known revision are missing.
@@ -122,23 +122,23 @@
     }
 
     /// Applies changes that follow on the revision `after`, unless later ones are known already.
-    pub(crate) fn apply_changes(&self, after: Revision, news: &ServerChanges) {
+    pub(crate) fn apply_changes(&self, after: Revision, update: &ServerChanges) {
         // Another relay may have reported these changes and later ones before.
         let known = self.revision();
-        if news.revision < known {
-            let (changes, revision) = (news.changes.len(), news.revision);
+        if update.revision < known {
+            let (changes, revision) = (update.changes.len(), update.revision);
             tracing::info!(changes, %revision, %known, "directory: changes of servers passed over");
             return;
         }
-        self.observe_revision(news.revision);
+        self.observe_revision(update.revision);
         let now = self.now();
         let mut fleet = self.fleet();
-        for change in &news.changes {
+        for change in &update.changes {
             fleet.apply_change(now, change);
         }
         drop(fleet);
-        lock(&self.change_log).push(after, news);
-        self.record_revision(news.revision);
+        lock(&self.change_log).push(after, update);
+        self.record_revision(update.revision);
     }
 
     /// The revision up to which the list of backend servers is known.
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Records up to which revision the list is known, and notifies whoever follows it.
+    /// Records up to which revision the list is known, and notifies the tasks that follow the list.
     fn record_revision(&self, revision: Revision) {
         let mut known = lock(&self.revision);
         *known = revision.max(*known);
--- a/relay/src/send.rs
+++ b/relay/src/send.rs
@@ -47,17 +47,17 @@
     TimeOver,
 }
 
-/// Sends the request and waits for the head of the answer. Uses the connection `ahead` if one was opened in advance.
-/// Gives the server up if it has not begun to answer at `patience`, if that is given.
+/// Sends the request and waits for the head of the answer. Uses the connection `prepared` if one was opened in advance.
+/// Gives the server up if it has not begun to answer at `progress_deadline`, if that is given.
 pub(crate) async fn send(
     relay: &Relay,
     call: &Call,
     placed: &PlacedRequest,
     dispatch: &Dispatch,
-    ahead: Option<OpenConnection>,
-    patience: Option<Instant>,
+    prepared: Option<OpenConnection>,
+    progress_deadline: Option<Instant>,
 ) -> Result<StartedAnswer, NoAnswer> {
-    let opened = match ahead {
+    let opened = match prepared {
         Some(opened) => opened,
         None => match timeout_at(
             call.timer_deadline,
@@ -81,8 +81,8 @@
     };
     let request = call.request(relay, &dispatch);
     let (sent_instant, sent_at) = (Instant::now(), relay.now());
-    let give_up_at = patience.map_or(call.timer_deadline, |patience| {
-        patience.min(call.timer_deadline)
+    let give_up_at = progress_deadline.map_or(call.timer_deadline, |progress_deadline| {
+        progress_deadline.min(call.timer_deadline)
     });
     let answer = match timeout_at(give_up_at, opened.send(request)).await {
         Err(_) if call.time_left().is_zero() => return Err(NoAnswer::TimeOver),
--- a/relay/src/upstream.rs
+++ b/relay/src/upstream.rs
@@ -76,14 +76,14 @@
     {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return Err(SendError::NotSent(error.to_string())),
-        Err(_) => return Err(SendError::NotSent("no connection in time".into())),
+        Err(_) => return Err(SendError::NotSent("timed out while connecting".into())),
     };
     set_socket_options(&stream).map_err(|error| SendError::NotSent(error.to_string()))?;
     let opened = http1::handshake(TokioIo::new(stream)).await;
     let (sender, driver) = opened.map_err(|error| SendError::NotSent(error.to_string()))?;
     let connection = Connection(tokio::spawn(async move {
         if let Err(error) = driver.await {
-            tracing::trace!(%error, "upstream: a connection broke");
+            tracing::trace!(%error, "upstream: connection failed");
         }
     }));
     Ok(OpenConnection { sender, connection })
