--- a/lib/src/lease.rs
+++ b/lib/src/lease.rs
@@ -1,13 +1,16 @@
-//! Who may give orders to a backend server: a fencing epoch in the store, and a lease on it.
+//! Decides which agent may give orders to a backend server: a fencing epoch in the store, and a
+//! lease on it.
 //!
-//! An agent that was paused wakes and believes that it is still the one; its successor has given
-//! orders since. Engines that check fencing numbers refuse the old agent. For the others the lease
-//! is judged right before each order, on a clock that runs on during a pause, and a successor waits
-//! until the old lease must be over. Times are never compared across hosts: the successor counts from
-//! its own write, which comes after the last renewal that its predecessor can have made.
+//! An agent that was paused may resume and still believe that it holds the lease, although a
+//! successor has given orders since. Engines that check fencing epochs refuse the old agent's
+//! orders. For other engines, the agent checks its lease immediately before each order, on a clock
+//! that keeps running during a pause, and a successor waits until the old lease must have expired.
+//! Times are never compared across hosts: the successor counts from its own write, which comes
+//! after the last renewal that its predecessor can have made.
 //!
-//! A renewal is made only when there are orders to give, so that 1,000 idle agents write nothing.
-//! The driver asks for a [`LeaseIntent`], carries it out, and hands back what came of it.
+//! The lease is renewed only when there are orders to give, so that 1,000 idle agents write
+//! nothing. This module does no I/O except in [`drive`], which polls for a [`LeaseCall`], makes it,
+//! and passes its result back.
 
 use std::time::Duration;
 
@@ -23,81 +26,86 @@
 use crate::time::Time;
 use crate::value_type;
 
-/// How long a renewal lasts. Orders are answered in milliseconds; this leaves time for some dozens,
-/// and a successor that has to wait for it is late by no more than a model's loading takes.
+/// How long a lease is valid after a renewal. Orders are answered within milliseconds, so this is
+/// enough for some dozens of orders. A successor that has to wait for it is delayed by no more than
+/// the time that a model takes to load.
 pub const LEASE: Duration = Duration::from_secs(10);
 
-/// How much longer a successor waits: for an order that its predecessor sent in the last moment.
+/// How much longer than [`LEASE`] a successor waits, to cover an order that its predecessor sent at
+/// the last moment.
 pub const MARGIN: Duration = Duration::from_secs(5);
 
-/// The longest that one order may take. It must end before the lease does.
+/// The maximum duration of one order. An order is sent only if it will end before the lease
+/// expires.
 pub const ORDER_TIME: Duration = Duration::from_secs(3);
 
-// One who was superseded tries again after this, if there is still something to order: its successor
-// may have died. Two that live change places no more often.
-const RETAKE: Duration = Duration::from_secs(60);
+// How long a superseded agent waits before it tries to take the lease back, if it still has orders
+// to give: its successor may have died. Two live agents take the lease from each other at most this
+// often.
+const RETAKE_DELAY: Duration = Duration::from_secs(60);
 
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 value_type! {
-    /// What stands in the store for each backend server.
+    /// The stored record of each backend server's epoch.
     pub struct EpochRecord {
-        /// The fencing number.
+        /// The fencing epoch.
         pub epoch: u64,
         /// The agent that holds it.
         pub holder: Name,
-        /// Random: tells this process's writes from those of another one of the same name.
+        /// A random value that distinguishes this process's writes from those of another process
+        /// with the same name.
         pub token: u64,
     }
 }
 
-/// A call to the store.
+/// A store call that the driver has to make.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum LeaseIntent {
+pub enum LeaseCall {
     /// Read the record.
     Read,
     /// Write the record.
     Write(EpochRecord, Condition),
 }
 
-/// What came of a call.
+/// The result of a [`LeaseCall`].
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum LeaseAnswer {
-    /// A read's answer.
+pub enum LeaseCallResult {
+    /// The object read, if it exists.
     Found(Option<Object>),
-    /// A write's answer.
+    /// The version written.
     Written(Version),
     /// The call failed.
     Failed(PlatformError),
 }
 
-/// Whether the engine checks fencing numbers.
+/// Whether the engine checks fencing epochs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FenceCheck {
-    /// It refuses an order with an old number.
+    /// It refuses an order with an older epoch.
     Checked,
-    /// It obeys it.
+    /// It executes an order with an older epoch.
     Ignored,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum State {
-    // Nothing is known, or the answer to a write was lost.
-    Unsure,
-    // The record is at this version and is not this process's.
-    Free(Option<Version>, u64),
-    Held(Held),
+    // The record has not been read, or the response to a write was lost.
+    Unknown,
+    // The record is at this version, with this epoch, and is not this process's.
+    NotHeld(Option<Version>, u64),
+    Held(HeldEpoch),
     // Another process has taken over.
     Superseded { since: Time },
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-struct Held {
+struct HeldEpoch {
     version: Version,
     epoch: u64,
-    until: Time,
-    // Engines that ignore the number get no order before.
-    quiet_until: Time,
+    valid_until: Time,
+    // Engines that do not check epochs get no order before this time.
+    no_orders_before: Time,
 }
 
 /// One process's lease on the orders to one backend server.
@@ -106,38 +114,39 @@
     token: u64,
     check: FenceCheck,
     state: State,
-    // The epoch once held, while its version is not known.
-    last: Option<Held>,
-    // The largest number that the engine is known to have seen.
-    floor: u64,
-    flight: Option<(LeaseIntent, Time)>,
+    // The epoch that was held when the response to a write was lost, until the record is read
+    // again.
+    unconfirmed: Option<HeldEpoch>,
+    // The largest epoch that the engine is known to have seen.
+    largest_seen_fence: u64,
+    in_flight: Option<(LeaseCall, Time)>,
     not_before: Time,
 }
 
 impl Lease {
-    /// A lease that is yet to be taken. `token` is random.
+    /// Creates a lease that has not been acquired yet. `token` must be random.
     pub fn new(holder: Name, token: u64, check: FenceCheck) -> Self {
         Lease {
             holder,
             token,
             check,
-            state: State::Unsure,
-            last: None,
-            floor: 0,
-            flight: None,
+            state: State::Unknown,
+            unconfirmed: None,
+            largest_seen_fence: 0,
+            in_flight: None,
             not_before: Time::ZERO,
         }
     }
 
-    /// The fencing number for an order that is sent now; `None` if none may be sent. To be asked right
-    /// before each order.
+    /// The fencing epoch for an order sent now, or `None` if no order may be sent. Call this
+    /// immediately before each order.
     pub fn fence(&self, now: Time) -> Option<u64> {
         let State::Held(held) = self.state else {
             return None;
         };
-        let early = self.check == FenceCheck::Ignored && now < held.quiet_until;
-        let in_time = now + ORDER_TIME <= held.until;
-        (in_time && !early).then_some(held.epoch)
+        let too_early = self.check == FenceCheck::Ignored && now < held.no_orders_before;
+        let in_time = now + ORDER_TIME <= held.valid_until;
+        (in_time && !too_early).then_some(held.epoch)
     }
 
     /// Whether another process has taken over.
@@ -145,75 +154,78 @@
         matches!(self.state, State::Superseded { .. })
     }
 
-    /// The engine has refused an order, since it knows the newer number `fence`.
+    /// Records that the engine refused an order because it has seen the newer epoch `fence`.
     pub fn fenced(&mut self, now: Time, fence: u64) {
         self.note_fence(fence);
-        self.supersede(now);
+        self.mark_superseded(now);
     }
 
-    /// The engine reports the largest number that it has seen.
+    /// Records the largest epoch that the engine reports to have seen.
     ///
-    /// After the store was set back its numbers are smaller, and the engine would refuse all orders
-    /// for good: the next epoch is above both.
+    /// After the store was restored from an older copy, its epochs are smaller than that, and the
+    /// engine would refuse all orders permanently. The next epoch is therefore larger than both.
     pub fn note_fence(&mut self, fence: u64) {
-        self.floor = self.floor.max(fence);
+        self.largest_seen_fence = self.largest_seen_fence.max(fence);
     }
 
-    /// The call to make now, if any, for a process that has orders to give.
-    pub fn poll(&mut self, now: Time) -> Option<LeaseIntent> {
-        if self.flight.is_some() || now < self.not_before {
+    /// Returns the store call to make now, if any. Call this only when there are orders to give.
+    pub fn poll(&mut self, now: Time) -> Option<LeaseCall> {
+        if self.in_flight.is_some() || now < self.not_before {
             return None;
         }
-        let intent = match self.state {
-            State::Unsure => LeaseIntent::Read,
-            State::Superseded { since } if now < since + RETAKE => return None,
-            State::Superseded { .. } => LeaseIntent::Read,
-            State::Free(version, epoch) => {
+        let call = match self.state {
+            State::Unknown => LeaseCall::Read,
+            State::Superseded { since } if now < since + RETAKE_DELAY => return None,
+            State::Superseded { .. } => LeaseCall::Read,
+            State::NotHeld(version, epoch) => {
                 let condition = version.map_or(Condition::Absent, Condition::At);
-                LeaseIntent::Write(self.record(epoch.max(self.floor) + 1), condition)
+                LeaseCall::Write(
+                    self.new_record(epoch.max(self.largest_seen_fence) + 1),
+                    condition,
+                )
             }
-            // A half is enough for the orders of one round, and leaves time for a retry.
-            State::Held(held) if now + LEASE / 2 < held.until => return None,
+            // Half of the lease is enough for the orders of one round, and leaves time for a retry.
+            State::Held(held) if now + LEASE / 2 < held.valid_until => return None,
             State::Held(held) => {
-                LeaseIntent::Write(self.record(held.epoch), Condition::At(held.version))
+                LeaseCall::Write(self.new_record(held.epoch), Condition::At(held.version))
             }
         };
-        self.flight = Some((intent.clone(), now));
-        Some(intent)
+        self.in_flight = Some((call.clone(), now));
+        Some(call)
     }
 
-    /// Takes in what came of the call.
-    pub fn done(&mut self, now: Time, answer: LeaseAnswer) {
-        let Some((intent, sent)) = self.flight.take() else {
+    /// Handles the result of the store call in flight.
+    pub fn complete_call(&mut self, now: Time, result: LeaseCallResult) {
+        let Some((call, sent)) = self.in_flight.take() else {
             return;
         };
-        match (intent, answer) {
-            (LeaseIntent::Read, LeaseAnswer::Found(object)) => self.read(now, object),
-            (LeaseIntent::Write(record, condition), LeaseAnswer::Written(version)) => {
-                self.written(now, sent, &record, condition, version);
+        match (call, result) {
+            (LeaseCall::Read, LeaseCallResult::Found(object)) => self.on_read(now, object),
+            (LeaseCall::Write(record, condition), LeaseCallResult::Written(version)) => {
+                self.on_written(now, sent, &record, condition, version);
             }
-            (LeaseIntent::Write(..), LeaseAnswer::Failed(PlatformError::Conflict { .. })) => {
-                // An epoch that was held is another's now. One that was only sought may still be
-                // free: another process was quicker, and goes first.
-                self.supersede(now);
+            (LeaseCall::Write(..), LeaseCallResult::Failed(PlatformError::Conflict { .. })) => {
+                // If this process held the epoch, another one has taken it. If it was only trying
+                // to acquire it, another process was faster and goes first.
+                self.mark_superseded(now);
             }
-            (LeaseIntent::Write(..), LeaseAnswer::Failed(PlatformError::Unknown(_))) => {
+            (LeaseCall::Write(..), LeaseCallResult::Failed(PlatformError::Unknown(_))) => {
                 if let State::Held(held) = self.state {
-                    self.last = Some(held);
+                    self.unconfirmed = Some(held);
                 }
-                self.state = State::Unsure;
-                self.not_before = now + RETRY / 5;
+                self.state = State::Unknown;
+                self.not_before = now + RETRY_DELAY / 5;
             }
-            _ => self.not_before = now + RETRY,
+            _ => self.not_before = now + RETRY_DELAY,
         }
     }
 
-    fn supersede(&mut self, now: Time) {
+    fn mark_superseded(&mut self, now: Time) {
         self.state = State::Superseded { since: now };
-        self.last = None;
+        self.unconfirmed = None;
     }
 
-    fn record(&self, epoch: u64) -> EpochRecord {
+    fn new_record(&self, epoch: u64) -> EpochRecord {
         EpochRecord {
             epoch,
             holder: self.holder.clone(),
@@ -221,36 +233,36 @@
         }
     }
 
-    fn read(&mut self, now: Time, object: Option<Object>) {
+    fn on_read(&mut self, now: Time, object: Option<Object>) {
         let version = object.as_ref().map(|object| object.version);
         let record = object
             .as_ref()
             .and_then(|object| postcard::from_bytes::<EpochRecord>(&object.value).ok());
         match (record, version) {
             (Some(record), Some(version)) if record.token == self.token => {
-                // A write whose answer was lost took effect. When it did is not known, so it gives no
-                // time: the next renewal does.
-                let quiet_until = match self.last {
-                    Some(last) if last.epoch == record.epoch => last.quiet_until,
+                // A write whose response was lost took effect. When it did is unknown, so the lease
+                // counts as expired until the next renewal.
+                let no_orders_before = match self.unconfirmed {
+                    Some(held) if held.epoch == record.epoch => held.no_orders_before,
                     _ => now + LEASE + MARGIN,
                 };
-                self.state = State::Held(Held {
+                self.state = State::Held(HeldEpoch {
                     version,
                     epoch: record.epoch,
-                    until: now,
-                    quiet_until,
+                    valid_until: now,
+                    no_orders_before,
                 });
             }
-            // This process held an epoch, and the record is another's.
-            (Some(_), Some(_)) if self.last.is_some() => self.supersede(now),
+            // This process held an epoch, and the record now belongs to another one.
+            (Some(_), Some(_)) if self.unconfirmed.is_some() => self.mark_superseded(now),
             (record, version) => {
                 let epoch = record.map_or(0, |record| record.epoch);
-                self.state = State::Free(version, epoch);
+                self.state = State::NotHeld(version, epoch);
             }
         }
     }
 
-    fn written(
+    fn on_written(
         &mut self,
         now: Time,
         sent: Time,
@@ -258,40 +270,42 @@
         condition: Condition,
         version: Version,
     ) {
-        let quiet_until = match self.state {
-            State::Held(held) => held.quiet_until,
-            // Nobody was before this process.
+        let no_orders_before = match self.state {
+            State::Held(held) => held.no_orders_before,
+            // There was no predecessor.
             _ if condition == Condition::Absent => now,
             _ => now + LEASE + MARGIN,
         };
-        self.last = None;
-        self.state = State::Held(Held {
+        self.unconfirmed = None;
+        self.state = State::Held(HeldEpoch {
             version,
             epoch: record.epoch,
-            // From before the write was sent: nobody can count from earlier.
-            until: sent + LEASE,
-            quiet_until,
+            // Counts from when the write was sent, so the lease ends before a successor, which
+            // counts from a later write, sends its first order.
+            valid_until: sent + LEASE,
+            no_orders_before,
         });
     }
 }
 
-/// The key of a backend server's epoch in the store.
+/// The store key of a backend server's epoch.
 pub fn epoch_key(server: &Name) -> String {
     format!("epochs/{server}")
 }
 
-/// Makes the calls that the lease wants now.
+/// Makes the store calls that are due for the lease.
 pub async fn drive(lease: &mut Lease, platform: &dyn Platform, server: &Name, clock: &Clock) {
     let key = epoch_key(server);
-    while let Some(intent) = lease.poll(clock.now()) {
-        let answer = match intent {
-            LeaseIntent::Read => platform.read(&key).await.map(LeaseAnswer::Found),
-            LeaseIntent::Write(record, condition) => {
-                let value = postcard::to_stdvec(&record).expect("plain data is written to memory");
+    while let Some(call) = lease.poll(clock.now()) {
+        let result = match call {
+            LeaseCall::Read => platform.read(&key).await.map(LeaseCallResult::Found),
+            LeaseCall::Write(record, condition) => {
+                let value = postcard::to_stdvec(&record)
+                    .expect("plain data can always be encoded to memory");
                 let written = platform.write(&key, Bytes::from(value), condition).await;
-                written.map(LeaseAnswer::Written)
+                written.map(LeaseCallResult::Written)
             }
         };
-        lease.done(clock.now(), answer.unwrap_or_else(LeaseAnswer::Failed));
+        lease.complete_call(clock.now(), result.unwrap_or_else(LeaseCallResult::Failed));
     }
 }
--- a/lib/src/load_slots.rs
+++ b/lib/src/load_slots.rs
@@ -1,8 +1,9 @@
-//! Which engines may read weights from the weight store at the same time.
+//! Limits how many engines read weights from the weight store at the same time.
 //!
-//! When a rack or a whole service restarts, every engine wants its model at once: the weight store is
-//! rate limited, so all of them would wait for the last, and no replica of a model would serve. Slots
-//! stand in one object of the platform's store, changed by conditional updates; a decision takes O(slots).
+//! When a rack or a whole service restarts, every engine needs its model at once. The weight store
+//! is rate limited, so without a limit all loads would finish late and together, and until then no
+//! replica of a model would serve. The slots are stored in one object of the platform's store,
+//! which is changed by conditional updates. A decision takes O(slots).
 
 use std::time::Duration;
 
@@ -12,49 +13,49 @@
 use crate::ids::Name;
 use crate::value_type;
 
-/// How long a slot lasts without renewal. Its holder renews it each minute while it loads.
+/// How long a slot is valid without renewal. The holder renews it every minute while it loads.
 ///
-/// By the time of day of the hosts: clocks that differ let a slot end early or late, which costs time
-/// at the weight store and no promise.
+/// Expiry is judged by the hosts' wall clocks. With clock skew, a slot ends early or late: that
+/// costs loading time but breaks no guarantee.
 pub const SLOT_TIME: Duration = Duration::from_secs(180);
 
 value_type! {
     /// A slot in use.
     pub struct Slot {
-        /// The engine's agent.
+        /// The agent of the engine that loads.
         pub holder: Name,
-        /// What it loads.
+        /// The model that it loads.
         pub model: Name,
-        /// The end, in milliseconds of Unix time.
+        /// When the slot expires, in milliseconds since the Unix epoch.
         pub until: u64,
     }
 }
 
-/// What a request for a slot is about.
+/// A request for a slot.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotRequest<'a> {
-    /// The agent that asks.
+    /// The requesting agent.
     pub holder: &'a Name,
-    /// What it wants to load.
+    /// The model to load.
     pub model: &'a Name,
     /// How many engines should hold the model.
     pub replicas: usize,
-    /// How many others hold it and serve.
+    /// How many other engines have the model loaded and serve it.
     pub serving: usize,
-    /// The time of day in milliseconds.
+    /// The wall-clock time, in milliseconds since the Unix epoch.
     pub now_unix_ms: u64,
 }
 
-/// The slots of one weight store.
+/// The load slots of one weight store.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Slots {
-    /// Those in use, at most one for each holder.
+    /// The slots in use, at most one per holder.
     pub slots: Vec<Slot>,
 }
 
 impl Slots {
-    /// The slots after the request was granted, to be written under the condition that they have not
-    /// changed; `None` if it has to wait. Renews a slot that the holder has.
+    /// Grants or renews a slot. Returns the updated slots, to be written by a conditional update,
+    /// or `None` if the request has to wait.
     pub fn take(&self, request: SlotRequest, most: usize) -> Option<Slots> {
         let mut next = self.clone();
         next.slots.retain(|slot| slot.until > request.now_unix_ms);
@@ -65,8 +66,9 @@
             .iter()
             .filter(|slot| slot.model == *request.model);
         let loading = same.count();
-        // Of a model that nobody serves one engine loads first, so that the first serves soonest;
-        // later at most half of the replicas load, so that never all do.
+        // If no engine serves the model, only one loads it, so that the first replica serves as
+        // soon as possible. After that at most half of the replicas load at once, so that never all
+        // do.
         let bound = match request.serving {
             0 => 1,
             _ => (request.replicas / 2).max(1),
@@ -83,7 +85,7 @@
         Some(next)
     }
 
-    /// The slots without the holder's.
+    /// Returns the slots without the holder's slot.
     pub fn give_back(&self, holder: &Name) -> Slots {
         let mut next = self.clone();
         next.slots.retain(|slot| slot.holder != *holder);
--- a/lib/src/order.rs
+++ b/lib/src/order.rs
@@ -1,25 +1,27 @@
-//! The order of waiting jobs within a workspace: short before long, with a bound on waiting.
+//! The queue order of waiting jobs within a workspace: short jobs first, with bounded delay for
+//! long ones.
 //!
-//! Load pattern: long generations among short checks. In the order of arrival each short one waits
-//! for the long ones before it; shortest first starves the long ones while short ones keep coming.
+//! Load pattern: long generations mixed with short checks. With first-in-first-out, each short job
+//! waits for the long ones ahead of it; shortest-job-first starves the long ones as long as short
+//! ones keep arriving.
 //!
-//! A job is due at its arrival plus a multiple of the time that it is expected to run, and the
-//! earliest due goes first. A job that arrives later than another's due time can never go before
-//! it, so nobody is overtaken for longer than [`MAX_DELAY`].
+//! Jobs are ordered by due time: the arrival time plus a multiple of the expected run time. A job
+//! that arrives after another one's due time is never placed ahead of it, so no job is overtaken
+//! for longer than [`MAX_DELAY`].
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// A job expected to run for T may be overtaken by short ones for T. A larger factor gains little
-/// for short jobs, which are due almost at once as it is, and a smaller one approaches the order
-/// of arrival.
+/// The factor applied to the expected run time. At 1.0, a job expected to run for T can be
+/// overtaken by short jobs for T. A larger factor gains little for short jobs, which are due almost
+/// immediately anyway, and a smaller one approaches first-in-first-out.
 pub const STRETCH: f64 = 1.0;
 
-/// The bound on being overtaken, however long a job is expected to run.
+/// The longest time for which a job can be overtaken, however long it is expected to run.
 pub const MAX_DELAY: Duration = Duration::from_secs(15);
 
-/// When a job that arrived at `arrival` and is expected to run for `service` is due.
+/// The due time of a job that arrived at `arrival` and is expected to run for `service`.
 pub fn due(arrival: Time, service: Duration) -> Time {
     arrival + service.mul_f64(STRETCH).min(MAX_DELAY)
 }
--- a/lib/src/orders.rs
+++ b/lib/src/orders.rs
@@ -1,9 +1,9 @@
-//! Which order an engine gets next, to bring it from what it holds to what it should hold.
+//! Reconciles the models and role of an engine with the desired state, one order at a time.
 //!
-//! Level-triggered: each decision starts from the engine's own report, never from what was ordered
-//! before. An order whose answer was lost, an order that came late, an engine that was restarted and
-//! holds nothing: each shows as a difference in a later report, and is put right. Without that, one
-//! lost answer leaves an engine without its model for ever.
+//! Reconciliation is level-triggered: each decision is based on the engine's own report, never on
+//! earlier orders. An order whose response was lost, an order that arrived late, and an engine that
+//! restarted empty all show up as a difference in a later report, and are corrected. Otherwise, one
+//! lost response could leave an engine without its model forever.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,37 +14,37 @@
 use crate::ids::Name;
 use crate::time::Time;
 
-// The engine's report lags; an order is not given again before it can show there.
-const REPORT_LAG: Duration = Duration::from_secs(2);
+// The engine's report lags behind: an order is not repeated before its effect can show there.
+const REPORT_DELAY: Duration = Duration::from_secs(2);
 
-// After a refused or failed order, doubled with each, so that an engine that cannot load a model is
-// not asked to without end.
-const PAUSE: Duration = Duration::from_secs(2);
-const MAX_PAUSE: Duration = Duration::from_secs(120);
+// The backoff after a refused or failed order, doubled with each failure, so that an engine that
+// cannot load a model is not ordered to do so continuously.
+const FAILURE_BACKOFF: Duration = Duration::from_secs(2);
+const MAX_FAILURE_BACKOFF: Duration = Duration::from_secs(120);
 
-/// What an engine should hold.
+/// The desired state of an engine.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Desired {
-    /// Models, versions and adapters.
+    /// The models, versions and adapters to be loaded.
     pub models: BTreeSet<Name>,
-    /// The role; empty for any.
+    /// The role; empty if any role will do.
     pub role: Name,
 }
 
-/// What to do next.
+/// The next reconciliation step.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum NextOrder {
-    /// Nothing: the engine holds what it should.
+    /// The engine is in the desired state.
     Settled,
-    /// Nothing yet: the last order has not had time to show.
+    /// Wait: the last order may not show in the report yet, or a backoff is running.
     Wait,
     /// Give the order now.
     Give(Order),
-    /// Nothing before a slot to load this model is had.
+    /// Acquire a load slot first, to load this model.
     NeedSlot(Name),
 }
 
-/// The orders to one engine.
+/// The state of reconciliation of one engine.
 #[derive(Debug, Default)]
 pub struct Orders {
     not_before: Time,
@@ -52,53 +52,54 @@
 }
 
 impl Orders {
-    /// Orders to an engine that got none yet.
+    /// The state of an engine that has been given no orders.
     pub fn new() -> Self {
         Orders::default()
     }
 
-    /// The next step, by the engine's last report. `slot` tells whether the agent has a slot to load
-    /// weights.
+    /// The next step, based on the engine's last report. `slot` tells whether the agent holds a
+    /// load slot.
     pub fn next(&self, now: Time, desired: &Desired, report: &EngineLoad, slot: bool) -> NextOrder {
         let held: BTreeSet<_> = report.models.iter().cloned().collect();
-        let spare = held.difference(&desired.models).next();
-        let lacking = desired.models.difference(&held).next();
+        let surplus = held.difference(&desired.models).next();
+        let missing = desired.models.difference(&held).next();
         let role_differs = !desired.role.as_str().is_empty() && report.role != desired.role;
-        if spare.is_none() && lacking.is_none() && !role_differs {
+        if surplus.is_none() && missing.is_none() && !role_differs {
             return NextOrder::Settled;
         }
         if now < self.not_before {
             return NextOrder::Wait;
         }
-        // The old version stays until it is this engine's turn to load the new one. Else all replicas
-        // would drop the old one at once, and nobody would serve while the loads take turns.
-        if let Some(lacking) = lacking
+        // The old version is kept until this engine has a slot to load the new one. Otherwise all
+        // replicas would unload the old version at once, and none would serve while they load in
+        // turn.
+        if let Some(missing) = missing
             && !slot
         {
-            return NextOrder::NeedSlot(lacking.clone());
+            return NextOrder::NeedSlot(missing.clone());
         }
-        match (spare, lacking) {
-            (Some(spare), _) => NextOrder::Give(Order::Unload(spare.clone())),
+        match (surplus, missing) {
+            (Some(surplus), _) => NextOrder::Give(Order::Unload(surplus.clone())),
             _ if role_differs => NextOrder::Give(Order::Role(desired.role.clone())),
-            (_, Some(lacking)) => NextOrder::Give(Order::Load(lacking.clone())),
+            (_, Some(missing)) => NextOrder::Give(Order::Load(missing.clone())),
             _ => NextOrder::Settled,
         }
     }
 
-    /// An order was given. Returns whether the agent has been superseded and must stop.
+    /// Records the result of an order. Returns whether the agent has been superseded and must stop.
     pub fn given(&mut self, now: Time, result: &Result<(), BackendError>) -> bool {
         match result {
-            // A lost answer is like a good one: the next report tells.
+            // A lost response is treated like a success: the next report shows whether it was one.
             Ok(()) | Err(BackendError::Lost(_)) => {
                 self.failures = 0;
-                self.not_before = now + REPORT_LAG;
+                self.not_before = now + REPORT_DELAY;
                 false
             }
             Err(BackendError::Fenced(_)) => true,
             Err(_) => {
-                let pause = PAUSE * 2_u32.saturating_pow(self.failures.min(8));
+                let backoff = FAILURE_BACKOFF * 2_u32.saturating_pow(self.failures.min(8));
                 self.failures += 1;
-                self.not_before = now + pause.min(MAX_PAUSE);
+                self.not_before = now + backoff.min(MAX_FAILURE_BACKOFF);
                 false
             }
         }
