--- a/daemon/src/desk_calls.rs
+++ b/daemon/src/desk_calls.rs
@@ -5,7 +5,7 @@
 use cicada_lib::claims;
 use cicada_lib::claims::Claim;
 use cicada_lib::claims::ClaimTicket;
-use cicada_lib::claims::RecordedAnswer;
+use cicada_lib::claims::RecordedResponse;
 use cicada_lib::outcome::Completion;
 use cicada_lib::outcome::FailureReason;
 use cicada_lib::outcome::Outcome;
@@ -79,7 +79,7 @@
                     .at(key)
                     .and_then(|record| record.answer.as_ref());
                 if let Some(answer) = answer {
-                    let recorded = RecordedAnswer::new(answer.status, &answer.body);
+                    let recorded = RecordedResponse::new(answer.status, &answer.body);
                     tokio::spawn(async move {
                         if let Err(err) = claims.settle(ticket, recorded).await {
                             tracing::warn!(%err, "claims: an answer is recorded later");
@@ -92,7 +92,7 @@
     }
 }
 
-fn replayed(answer: RecordedAnswer) -> CallAnswer {
+fn replayed(answer: RecordedResponse) -> CallAnswer {
     CallAnswer {
         status: answer.status,
         headers: vec![Header {
--- a/daemon/src/orders_controller.rs
+++ b/daemon/src/orders_controller.rs
@@ -18,11 +18,11 @@
 use cicada_lib::lease;
 use cicada_lib::lease::FenceCheck;
 use cicada_lib::lease::Lease;
+use cicada_lib::load_slots::LoadSlots;
 use cicada_lib::load_slots::SlotRequest;
-use cicada_lib::load_slots::Slots;
-use cicada_lib::orders::Desired;
-use cicada_lib::orders::NextOrder;
-use cicada_lib::orders::Orders;
+use cicada_lib::orders::DesiredState;
+use cicada_lib::orders::NextStep;
+use cicada_lib::orders::Reconciler;
 use cicada_lib::platform::Condition;
 use cicada_lib::platform::Platform;
 use cicada_lib::roster::MemberState;
@@ -68,7 +68,7 @@
     process: Arc<Process>,
     tools: OrderTools,
     lease: Lease,
-    orders: Orders,
+    orders: Reconciler,
     slot: Option<Time>,
     not_before: Time,
 }
@@ -82,7 +82,7 @@
         };
         OrdersController {
             lease: Lease::new(process.name().clone(), fastrand::u64(1..), check),
-            orders: Orders::new(),
+            orders: Reconciler::new(),
             slot: None,
             not_before: Time::ZERO,
             process,
@@ -106,16 +106,16 @@
         let Ok(report) = self.tools.engine.load().await else {
             return;
         };
-        self.lease.note_fence(report.fence);
+        self.lease.observe_fence(report.fence);
         let now = self.tools.clock.now();
         match self
             .orders
             .next(now, &desired, &report, self.slot.is_some())
         {
-            NextOrder::Settled => self.give_slot_back().await,
-            NextOrder::Wait => self.renew_slot(config, &desired, &report).await,
-            NextOrder::NeedSlot(model) => self.take_slot(config, &model).await,
-            NextOrder::Give(order) => self.give(&order).await,
+            NextStep::InSync => self.give_slot_back().await,
+            NextStep::Wait => self.renew_slot(config, &desired, &report).await,
+            NextStep::AcquireSlot(model) => self.take_slot(config, &model).await,
+            NextStep::Give(order) => self.give(&order).await,
         }
     }
 
@@ -139,7 +139,7 @@
             );
             self.lease.fenced(now, *newer);
         }
-        self.orders.given(now, &result);
+        self.orders.record_result(now, &result);
     }
 
     async fn take_slot(&mut self, config: &Config, model: &Name) {
@@ -156,14 +156,14 @@
             now_unix_ms: unix_millis(),
         };
         let taken = self
-            .change_slots(|slots| slots.take(request, MOST_LOADS))
+            .change_slots(|slots| slots.acquire(request, MOST_LOADS))
             .await;
         if taken {
             self.slot = Some(now);
         }
     }
 
-    async fn renew_slot(&mut self, config: &Config, desired: &Desired, report: &EngineLoad) {
+    async fn renew_slot(&mut self, config: &Config, desired: &DesiredState, report: &EngineLoad) {
         let due = self.slot.map(|taken| taken + SLOT_RENEWAL);
         if due.is_none_or(|due| self.tools.clock.now() < due) {
             return;
@@ -183,7 +183,7 @@
         }
         let holder = self.process.name().clone();
         if self
-            .change_slots(|slots| Some(slots.give_back(&holder)))
+            .change_slots(|slots| Some(slots.release(&holder)))
             .await
         {
             self.slot = None;
@@ -192,7 +192,7 @@
 
     /// Changes the slots by conditional update. A lost answer counts as no change; the next step, or
     /// the end of the slot's time, puts it right.
-    async fn change_slots(&self, change: impl FnOnce(&Slots) -> Option<Slots>) -> bool {
+    async fn change_slots(&self, change: impl FnOnce(&LoadSlots) -> Option<LoadSlots>) -> bool {
         let platform = &self.tools.platform;
         let Ok(found) = platform.read(SLOTS_KEY).await else {
             return false;
@@ -235,7 +235,7 @@
 }
 
 /// What the engine beside the agent should hold; `None` where operators have said nothing.
-fn desired(config: &Config, name: &Name) -> Option<Desired> {
+fn desired(config: &Config, name: &Name) -> Option<DesiredState> {
     let placement = config.placements.get(name)?;
     let models = placement
         .models
@@ -247,7 +247,7 @@
         cicada_lib::config::EngineRole::Prefill => "prefill",
         cicada_lib::config::EngineRole::Decode => "decode",
     };
-    Some(Desired {
+    Some(DesiredState {
         models,
         role: Name::new(role),
     })
--- a/lib/examples/claims_trial.rs
+++ b/lib/examples/claims_trial.rs
@@ -14,7 +14,7 @@
 use cicada_lib::claims::ClaimSettings;
 use cicada_lib::claims::Claims;
 use cicada_lib::claims::KeyDigest;
-use cicada_lib::claims::RecordedAnswer;
+use cicada_lib::claims::RecordedResponse;
 use cicada_lib::ids::Name;
 use cicada_lib::ids::Version;
 use cicada_lib::platform::Condition;
@@ -194,7 +194,7 @@
             return None;
         };
         tokio::time::sleep(CALL).await;
-        let answer = RecordedAnswer::new(201, b"{\"booked\":true,\"number\":123456}");
+        let answer = RecordedResponse::new(201, b"{\"booked\":true,\"number\":123456}");
         // What cannot be written now is kept and written later.
         let _ = agent.settle(ticket, answer).await;
         Some(added)
--- a/lib/src/claim_commit.rs
+++ b/lib/src/claim_commit.rs
@@ -7,7 +7,7 @@
 use crate::claim_log::Entry;
 use crate::claim_log::Head;
 use crate::claim_log::KeyDigest;
-use crate::claim_log::RecordedAnswer;
+use crate::claim_log::RecordedResponse;
 use crate::claim_log::RunId;
 use crate::claim_log::SegmentRef;
 use crate::claim_types::WaiterId;
@@ -17,7 +17,7 @@
 
 /// What to record for a claim.
 pub(crate) enum Update {
-    Done(RecordedAnswer),
+    Done(RecordedResponse),
     /// The call is proven not to have run. Does nothing if the claim is not in the store.
     Release,
 }
--- a/lib/src/claim_log.rs
+++ b/lib/src/claim_log.rs
@@ -27,7 +27,7 @@
 
 /// The largest response body, in bytes, that is stored in full. Of a larger one, a digest is
 /// stored.
-pub const MAX_ANSWER: usize = 512;
+pub const MAX_RECORDED_BODY: usize = 512;
 
 /// An error in reading a record.
 #[derive(Clone, Copy, Debug, Error, Eq, PartialEq)]
@@ -69,10 +69,11 @@
 
 value_type! {
     /// The stored part of a response.
-    pub struct RecordedAnswer {
+    pub struct RecordedResponse {
         /// The status code.
         pub status: u16,
-        /// The body if it has at most [`MAX_ANSWER`] bytes, else the first 16 bytes of its digest.
+        /// The body if it has at most [`MAX_RECORDED_BODY`] bytes, else the first 16 bytes of its
+        /// digest.
         pub body: Vec<u8>,
         /// Whether `body` is the full body.
         pub whole: bool,
@@ -83,7 +84,7 @@
         /// A process has claimed the call; it may have run.
         Claimed,
         /// The call ran, with this response.
-        Done(RecordedAnswer),
+        Done(RecordedResponse),
         /// The call did not run and never will under this claim.
         Released,
     }
@@ -111,16 +112,16 @@
     }
 }
 
-impl RecordedAnswer {
+impl RecordedResponse {
     /// Stores the body if it is small enough, else its digest.
     pub fn new(status: u16, body: &[u8]) -> Self {
-        let whole = body.len() <= MAX_ANSWER;
+        let whole = body.len() <= MAX_RECORDED_BODY;
         let body = if whole {
             body.to_vec()
         } else {
             blake3::hash(body).as_bytes()[..16].to_vec()
         };
-        RecordedAnswer {
+        RecordedResponse {
             status,
             body,
             whole,
--- a/lib/src/claim_pending.rs
+++ b/lib/src/claim_pending.rs
@@ -7,7 +7,7 @@
 use crate::claim_commit::Change;
 use crate::claim_log::Head;
 use crate::claim_log::KeyDigest;
-use crate::claim_log::RecordedAnswer;
+use crate::claim_log::RecordedResponse;
 use crate::claim_log::RunId;
 use crate::claim_types::WaiterId;
 use crate::ids::Version;
@@ -31,7 +31,7 @@
 pub(crate) enum LocalCall {
     Running(RunId),
     // The call ran, and its result is not in the store yet.
-    Answered(RecordedAnswer),
+    Answered(RecordedResponse),
 }
 
 /// A head to be written, with the claims and changes that it contains.
--- a/lib/src/claim_shard.rs
+++ b/lib/src/claim_shard.rs
@@ -22,7 +22,7 @@
 use crate::claim_log::ClaimState;
 use crate::claim_log::Head;
 use crate::claim_log::KeyDigest;
-use crate::claim_log::RecordedAnswer;
+use crate::claim_log::RecordedResponse;
 use crate::claim_log::RunId;
 use crate::claim_pending::Commit;
 use crate::claim_pending::InFlight;
@@ -132,7 +132,7 @@
         waiter: WaiterId,
         key: KeyDigest,
         run: RunId,
-        answer: RecordedAnswer,
+        answer: RecordedResponse,
     ) {
         self.local_calls
             .insert(key, LocalCall::Answered(answer.clone()));
--- a/lib/src/claim_types.rs
+++ b/lib/src/claim_types.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use crate::claim_log::RecordedAnswer;
+use crate::claim_log::RecordedResponse;
 use crate::claim_log::RunId;
 use crate::ids::Name;
 use crate::ids::Version;
@@ -57,7 +57,7 @@
     /// The call is running in this process.
     Running,
     /// The call ran, with this response.
-    Done(RecordedAnswer),
+    Done(RecordedResponse),
     /// The call was claimed by another process, or by this one, which then lost track of it. It may
     /// have run.
     Unsettled(Name),
--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 
 pub use crate::claim_log::KeyDigest;
-pub use crate::claim_log::RecordedAnswer;
+pub use crate::claim_log::RecordedResponse;
 use crate::claim_log::RunId;
 use crate::claim_log::head_key;
 use crate::claim_log::segment_key;
@@ -76,7 +76,7 @@
     /// The call is running in this process: attach to it.
     Running,
     /// The call ran.
-    Done(RecordedAnswer),
+    Done(RecordedResponse),
     /// Another process claimed the key and has recorded no result: the call may have run.
     ElsewhereUnsettled {
         /// The process that claimed the key.
@@ -138,7 +138,7 @@
 
 enum Request {
     Claim(KeyDigest, u64, oneshot::Sender<ClaimReply>),
-    Settle(KeyDigest, RunId, RecordedAnswer, oneshot::Sender<Verdict>),
+    Settle(KeyDigest, RunId, RecordedResponse, oneshot::Sender<Verdict>),
     Release(KeyDigest, RunId, oneshot::Sender<Verdict>),
     Abandon(KeyDigest, RunId),
     Undelivered(KeyDigest, RunId),
@@ -205,7 +205,7 @@
     ///
     /// Returns once the record is in the store. On an error it stays in memory and is written
     /// later.
-    pub async fn settle(&self, mut ticket: ClaimTicket, answer: RecordedAnswer) -> Result<()> {
+    pub async fn settle(&self, mut ticket: ClaimTicket, answer: RecordedResponse) -> Result<()> {
         ticket.state = TicketState::Consumed;
         let (reply, verdict) = oneshot::channel();
         let request = Request::Settle(ticket.key, ticket.run, answer, reply);
--- a/lib/src/lease.rs
+++ b/lib/src/lease.rs
@@ -29,15 +29,15 @@
 /// How long a lease is valid after a renewal. Orders are answered within milliseconds, so this is
 /// enough for some dozens of orders. A successor that has to wait for it is delayed by no more than
 /// the time that a model takes to load.
-pub const LEASE: Duration = Duration::from_secs(10);
+pub const LEASE_DURATION: Duration = Duration::from_secs(10);
 
-/// How much longer than [`LEASE`] a successor waits, to cover an order that its predecessor sent at
-/// the last moment.
-pub const MARGIN: Duration = Duration::from_secs(5);
+/// How much longer than [`LEASE_DURATION`] a successor waits, to cover an order that its
+/// predecessor sent at the last moment.
+pub const TAKEOVER_MARGIN: Duration = Duration::from_secs(5);
 
 /// The maximum duration of one order. An order is sent only if it will end before the lease
 /// expires.
-pub const ORDER_TIME: Duration = Duration::from_secs(3);
+pub const MAX_ORDER_DURATION: Duration = Duration::from_secs(3);
 
 // How long a superseded agent waits before it tries to take the lease back, if it still has orders
 // to give: its successor may have died. Two live agents take the lease from each other at most this
@@ -145,7 +145,7 @@
             return None;
         };
         let too_early = self.check == FenceCheck::Ignored && now < held.no_orders_before;
-        let in_time = now + ORDER_TIME <= held.valid_until;
+        let in_time = now + MAX_ORDER_DURATION <= held.valid_until;
         (in_time && !too_early).then_some(held.epoch)
     }
 
@@ -156,7 +156,7 @@
 
     /// Records that the engine refused an order because it has seen the newer epoch `fence`.
     pub fn fenced(&mut self, now: Time, fence: u64) {
-        self.note_fence(fence);
+        self.observe_fence(fence);
         self.mark_superseded(now);
     }
 
@@ -164,7 +164,7 @@
     ///
     /// After the store was restored from an older copy, its epochs are smaller than that, and the
     /// engine would refuse all orders permanently. The next epoch is therefore larger than both.
-    pub fn note_fence(&mut self, fence: u64) {
+    pub fn observe_fence(&mut self, fence: u64) {
         self.largest_seen_fence = self.largest_seen_fence.max(fence);
     }
 
@@ -185,7 +185,7 @@
                 )
             }
             // Half of the lease is enough for the orders of one round, and leaves time for a retry.
-            State::Held(held) if now + LEASE / 2 < held.valid_until => return None,
+            State::Held(held) if now + LEASE_DURATION / 2 < held.valid_until => return None,
             State::Held(held) => {
                 LeaseCall::Write(self.new_record(held.epoch), Condition::At(held.version))
             }
@@ -244,7 +244,7 @@
                 // counts as expired until the next renewal.
                 let no_orders_before = match self.unconfirmed {
                     Some(held) if held.epoch == record.epoch => held.no_orders_before,
-                    _ => now + LEASE + MARGIN,
+                    _ => now + LEASE_DURATION + TAKEOVER_MARGIN,
                 };
                 self.state = State::Held(HeldEpoch {
                     version,
@@ -274,7 +274,7 @@
             State::Held(held) => held.no_orders_before,
             // There was no predecessor.
             _ if condition == Condition::Absent => now,
-            _ => now + LEASE + MARGIN,
+            _ => now + LEASE_DURATION + TAKEOVER_MARGIN,
         };
         self.unconfirmed = None;
         self.state = State::Held(HeldEpoch {
@@ -282,7 +282,7 @@
             epoch: record.epoch,
             // Counts from when the write was sent, so the lease ends before a successor, which
             // counts from a later write, sends its first order.
-            valid_until: sent + LEASE,
+            valid_until: sent + LEASE_DURATION,
             no_orders_before,
         });
     }
--- a/lib/src/load_slots.rs
+++ b/lib/src/load_slots.rs
@@ -17,7 +17,7 @@
 ///
 /// Expiry is judged by the hosts' wall clocks. With clock skew, a slot ends early or late: that
 /// costs loading time but breaks no guarantee.
-pub const SLOT_TIME: Duration = Duration::from_secs(180);
+pub const SLOT_DURATION: Duration = Duration::from_secs(180);
 
 value_type! {
     /// A slot in use.
@@ -48,24 +48,24 @@
 
 /// The load slots of one weight store.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Slots {
+pub struct LoadSlots {
     /// The slots in use, at most one per holder.
     pub slots: Vec<Slot>,
 }
 
-impl Slots {
+impl LoadSlots {
     /// Grants or renews a slot. Returns the updated slots, to be written by a conditional update,
     /// or `None` if the request has to wait.
-    pub fn take(&self, request: SlotRequest, most: usize) -> Option<Slots> {
+    pub fn acquire(&self, request: SlotRequest, max_slots: usize) -> Option<LoadSlots> {
         let mut next = self.clone();
         next.slots.retain(|slot| slot.until > request.now_unix_ms);
         next.slots.retain(|slot| slot.holder != *request.holder);
-        let others = next.slots.len();
-        let same = next
+        let others_in_use = next.slots.len();
+        let same_model = next
             .slots
             .iter()
             .filter(|slot| slot.model == *request.model);
-        let loading = same.count();
+        let loading = same_model.count();
         // If no engine serves the model, only one loads it, so that the first replica serves as
         // soon as possible. After that at most half of the replicas load at once, so that never all
         // do.
@@ -73,10 +73,10 @@
             0 => 1,
             _ => (request.replicas / 2).max(1),
         };
-        if others >= most || loading >= bound {
+        if others_in_use >= max_slots || loading >= bound {
             return None;
         }
-        let time = u64::try_from(SLOT_TIME.as_millis()).unwrap_or(u64::MAX);
+        let time = u64::try_from(SLOT_DURATION.as_millis()).unwrap_or(u64::MAX);
         next.slots.push(Slot {
             holder: request.holder.clone(),
             model: request.model.clone(),
@@ -86,7 +86,7 @@
     }
 
     /// Returns the slots without the holder's slot.
-    pub fn give_back(&self, holder: &Name) -> Slots {
+    pub fn release(&self, holder: &Name) -> LoadSlots {
         let mut next = self.clone();
         next.slots.retain(|slot| slot.holder != *holder);
         next
--- a/lib/src/orders.rs
+++ b/lib/src/orders.rs
@@ -24,7 +24,7 @@
 
 /// The desired state of an engine.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Desired {
+pub struct DesiredState {
     /// The models, versions and adapters to be loaded.
     pub models: BTreeSet<Name>,
     /// The role; empty if any role will do.
@@ -33,42 +33,48 @@
 
 /// The next reconciliation step.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum NextOrder {
+pub enum NextStep {
     /// The engine is in the desired state.
-    Settled,
+    InSync,
     /// Wait: the last order may not show in the report yet, or a backoff is running.
     Wait,
     /// Give the order now.
     Give(Order),
     /// Acquire a load slot first, to load this model.
-    NeedSlot(Name),
+    AcquireSlot(Name),
 }
 
 /// The state of reconciliation of one engine.
 #[derive(Debug, Default)]
-pub struct Orders {
+pub struct Reconciler {
     not_before: Time,
     failures: u32,
 }
 
-impl Orders {
+impl Reconciler {
     /// The state of an engine that has been given no orders.
     pub fn new() -> Self {
-        Orders::default()
+        Reconciler::default()
     }
 
     /// The next step, based on the engine's last report. `slot` tells whether the agent holds a
     /// load slot.
-    pub fn next(&self, now: Time, desired: &Desired, report: &EngineLoad, slot: bool) -> NextOrder {
+    pub fn next(
+        &self,
+        now: Time,
+        desired: &DesiredState,
+        report: &EngineLoad,
+        slot: bool,
+    ) -> NextStep {
         let held: BTreeSet<_> = report.models.iter().cloned().collect();
         let surplus = held.difference(&desired.models).next();
         let missing = desired.models.difference(&held).next();
         let role_differs = !desired.role.as_str().is_empty() && report.role != desired.role;
         if surplus.is_none() && missing.is_none() && !role_differs {
-            return NextOrder::Settled;
+            return NextStep::InSync;
         }
         if now < self.not_before {
-            return NextOrder::Wait;
+            return NextStep::Wait;
         }
         // The old version is kept until this engine has a slot to load the new one. Otherwise all
         // replicas would unload the old version at once, and none would serve while they load in
@@ -76,18 +82,18 @@
         if let Some(missing) = missing
             && !slot
         {
-            return NextOrder::NeedSlot(missing.clone());
+            return NextStep::AcquireSlot(missing.clone());
         }
         match (surplus, missing) {
-            (Some(surplus), _) => NextOrder::Give(Order::Unload(surplus.clone())),
-            _ if role_differs => NextOrder::Give(Order::Role(desired.role.clone())),
-            (_, Some(missing)) => NextOrder::Give(Order::Load(missing.clone())),
-            _ => NextOrder::Settled,
+            (Some(surplus), _) => NextStep::Give(Order::Unload(surplus.clone())),
+            _ if role_differs => NextStep::Give(Order::Role(desired.role.clone())),
+            (_, Some(missing)) => NextStep::Give(Order::Load(missing.clone())),
+            _ => NextStep::InSync,
         }
     }
 
     /// Records the result of an order. Returns whether the agent has been superseded and must stop.
-    pub fn given(&mut self, now: Time, result: &Result<(), BackendError>) -> bool {
+    pub fn record_result(&mut self, now: Time, result: &Result<(), BackendError>) -> bool {
         match result {
             // A lost response is treated like a success: the next report shows whether it was one.
             Ok(()) | Err(BackendError::Lost(_)) => {
--- a/lib/tests/claims.rs
+++ b/lib/tests/claims.rs
@@ -9,7 +9,7 @@
 use cicada_lib::claims::ClaimTicket;
 use cicada_lib::claims::Claims;
 use cicada_lib::claims::KeyDigest;
-use cicada_lib::claims::RecordedAnswer;
+use cicada_lib::claims::RecordedResponse;
 use cicada_lib::ids::Name;
 use cicada_lib::outcome::NotRun;
 use cicada_lib::outcome::RefusalReason;
@@ -66,7 +66,7 @@
     let ticket = fixture.ticket(&first, "deposit 7").await;
     let again = fixture.claim(&first, "deposit 7").await;
     assert!(matches!(again, Ok(Claim::Running)), "{again:?}");
-    let answer = RecordedAnswer::new(201, b"booked");
+    let answer = RecordedResponse::new(201, b"booked");
     let settled = first.settle(ticket, answer.clone()).await;
     assert_eq!(settled, Ok(()));
     for process in [first, fixture.process("second")] {
--- a/lib/tests/claims_model.rs
+++ b/lib/tests/claims_model.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use cicada_lib::claim_log::Head;
 use cicada_lib::claim_log::KeyDigest;
-use cicada_lib::claim_log::RecordedAnswer;
+use cicada_lib::claim_log::RecordedResponse;
 use cicada_lib::claim_log::RunId;
 use cicada_lib::claim_shard::ClaimShard;
 use cicada_lib::claim_types::CallResult;
@@ -268,7 +268,7 @@
     fn settle(&mut self, index: usize) {
         if let Some(ticket) = self.take_ticket(index, true) {
             self.next += 1;
-            let answer = RecordedAnswer::new(200, &[ticket.key]);
+            let answer = RecordedResponse::new(200, &[ticket.key]);
             let key = digest(ticket.key);
             let shard = &mut self.agents[index].shard;
             shard.settle(self.now, self.next, key, ticket.run, answer);
--- a/lib/tests/orders.rs
+++ b/lib/tests/orders.rs
@@ -10,18 +10,18 @@
 use cicada_lib::ids::Name;
 use cicada_lib::ids::Version;
 use cicada_lib::lease::FenceCheck;
-use cicada_lib::lease::LEASE;
+use cicada_lib::lease::LEASE_DURATION;
 use cicada_lib::lease::Lease;
 use cicada_lib::lease::LeaseCall;
 use cicada_lib::lease::LeaseCallResult;
-use cicada_lib::lease::MARGIN;
-use cicada_lib::lease::ORDER_TIME;
+use cicada_lib::lease::MAX_ORDER_DURATION;
+use cicada_lib::lease::TAKEOVER_MARGIN;
 use cicada_lib::lease::drive;
+use cicada_lib::load_slots::LoadSlots;
 use cicada_lib::load_slots::SlotRequest;
-use cicada_lib::load_slots::Slots;
-use cicada_lib::orders::Desired;
-use cicada_lib::orders::NextOrder;
-use cicada_lib::orders::Orders;
+use cicada_lib::orders::DesiredState;
+use cicada_lib::orders::NextStep;
+use cicada_lib::orders::Reconciler;
 use cicada_lib::platform::Condition;
 use cicada_lib::platform::Object;
 use cicada_lib::platform::PlatformError;
@@ -104,8 +104,8 @@
     Time::from_millis(seconds * 1_000)
 }
 
-fn desired(models: &[&str]) -> Desired {
-    Desired {
+fn desired(models: &[&str]) -> DesiredState {
+    DesiredState {
         models: models.iter().map(Name::new).collect(),
         role: Name::default(),
     }
@@ -122,7 +122,7 @@
     assert_eq!(old.fence(at(1)), Some(1));
     let mut new = lease(2, FenceCheck::Ignored);
     sim.drive(&mut new, at(5));
-    let waking = at(5) + LEASE;
+    let waking = at(5) + LEASE_DURATION;
     assert_eq!(old.fence(waking), None);
     sim.drive(&mut old, waking);
     assert!(old.is_superseded());
@@ -154,7 +154,10 @@
             }
         }
         let (last, first) = (last_old.unwrap(), first_new.unwrap());
-        assert!(last + ORDER_TIME + MARGIN <= first, "{last:?} {first:?}");
+        assert!(
+            last + MAX_ORDER_DURATION + TAKEOVER_MARGIN <= first,
+            "{last:?} {first:?}"
+        );
     }
 }
 
@@ -169,15 +172,15 @@
             ..Simulation::default()
         };
         let wanted = desired(&["v2"]);
-        let orders = Orders::new();
+        let orders = Reconciler::new();
         assert_eq!(sim.order(2, &Order::Load(Name::new("v2"))), Ok(()));
         let stale = sim.order(1, &Order::Unload(Name::new("v2")));
         assert_eq!(stale.is_err(), checks_fence);
         let next = orders.next(at(10), &wanted, &sim.report(), true);
         if checks_fence {
-            assert_eq!(next, NextOrder::Settled);
+            assert_eq!(next, NextStep::InSync);
         } else {
-            assert_eq!(next, NextOrder::Give(Order::Load(Name::new("v2"))));
+            assert_eq!(next, NextStep::Give(Order::Load(Name::new("v2"))));
         }
     }
 }
@@ -190,15 +193,15 @@
     let mut sim = Simulation::default();
     sim.models.insert(Name::new("v1"));
     let wanted = desired(&["v2"]);
-    let mut orders = Orders::new();
-    let needs = NextOrder::NeedSlot(Name::new("v2"));
+    let mut orders = Reconciler::new();
+    let needs = NextStep::AcquireSlot(Name::new("v2"));
     assert_eq!(orders.next(at(0), &wanted, &sim.report(), false), needs);
     let mut given = Vec::new();
     for second in 1..20 {
         let next = orders.next(at(second), &wanted, &sim.report(), true);
-        if let NextOrder::Give(order) = next {
+        if let NextStep::Give(order) = next {
             let result = sim.order(1, &order);
-            assert!(!orders.given(at(second), &result));
+            assert!(!orders.record_result(at(second), &result));
             given.push(order);
         }
     }
@@ -213,21 +216,21 @@
     for took_effect in [true, false] {
         let mut sim = Simulation::default();
         let wanted = desired(&["v1"]);
-        let mut orders = Orders::new();
+        let mut orders = Reconciler::new();
         let now = at(1);
-        let load = NextOrder::Give(Order::Load(Name::new("v1")));
+        let load = NextStep::Give(Order::Load(Name::new("v1")));
         assert_eq!(orders.next(now, &wanted, &sim.report(), true), load);
         if took_effect {
             assert_eq!(sim.order(1, &Order::Load(Name::new("v1"))), Ok(()));
         }
         let lost = Err(BackendError::Lost("cut".to_owned()));
-        assert!(!orders.given(now, &lost));
+        assert!(!orders.record_result(now, &lost));
         let soon = orders.next(at(2), &wanted, &sim.report(), true);
         let later = orders.next(at(4), &wanted, &sim.report(), true);
         if took_effect {
-            assert_eq!((soon, later), (NextOrder::Settled, NextOrder::Settled));
+            assert_eq!((soon, later), (NextStep::InSync, NextStep::InSync));
         } else {
-            assert_eq!((soon, later), (NextOrder::Wait, load));
+            assert_eq!((soon, later), (NextStep::Wait, load));
         }
     }
 }
@@ -262,7 +265,7 @@
     let mut sim = Simulation::default();
     let mut lease = lease(1, FenceCheck::Checked);
     sim.drive(&mut lease, at(0));
-    assert!(Orders::new().given(at(1), &Err(BackendError::Fenced(9))));
+    assert!(Reconciler::new().record_result(at(1), &Err(BackendError::Fenced(9))));
     lease.fenced(at(1), 9);
     assert_eq!(lease.fence(at(1)), None);
     assert_eq!(lease.poll(at(30)), None);
@@ -279,7 +282,7 @@
         ..Simulation::default()
     };
     let mut lease = lease(1, FenceCheck::Checked);
-    lease.note_fence(sim.report().fence);
+    lease.observe_fence(sim.report().fence);
     sim.drive(&mut lease, at(0));
     let fence = lease.fence(at(0)).expect("a lease");
     assert_eq!(sim.order(fence, &Order::Load(Name::new("v1"))), Ok(()));
@@ -290,12 +293,12 @@
 fn a_failing_order_is_repeated_ever_less_often() {
     let sim = Simulation::default();
     let wanted = desired(&["v1"]);
-    let mut orders = Orders::new();
+    let mut orders = Reconciler::new();
     let failed = Err(BackendError::Failed("no memory".to_owned()));
     let given = (0..3_600).filter(|second| {
-        let ready = orders.next(at(*second), &wanted, &sim.report(), true) != NextOrder::Wait;
+        let ready = orders.next(at(*second), &wanted, &sim.report(), true) != NextStep::Wait;
         if ready {
-            assert!(!orders.given(at(*second), &failed));
+            assert!(!orders.record_result(at(*second), &failed));
         }
         ready
     });
@@ -310,7 +313,7 @@
 fn loads_are_staggered() {
     let model = Name::new("ceremony-7");
     let names: Vec<_> = (0..9).map(|n| Name::new(format!("agent-{n}"))).collect();
-    let mut slots = Slots::default();
+    let mut slots = LoadSlots::default();
     let mut served = BTreeSet::new();
     let mut most = 0;
     for minute in 0..30 {
@@ -323,7 +326,7 @@
                 now_unix_ms: minute * 60_000,
             };
             if !served.contains(holder)
-                && let Some(next) = slots.take(request, 3)
+                && let Some(next) = slots.acquire(request, 3)
             {
                 slots = next;
             }
@@ -335,7 +338,7 @@
         for slot in slots.slots.clone() {
             let dies = slot.holder == names[3] && minute < 3;
             if !dies {
-                slots = slots.give_back(&slot.holder);
+                slots = slots.release(&slot.holder);
                 served.insert(slot.holder);
             }
         }
@@ -357,12 +360,12 @@
         serving: 1,
         now_unix_ms: now,
     };
-    let slots = Slots::default()
-        .take(request(&first, 0), 8)
+    let slots = LoadSlots::default()
+        .acquire(request(&first, 0), 8)
         .expect("a slot");
-    assert_eq!(slots.take(request(&second, 1_000), 8), None);
+    assert_eq!(slots.acquire(request(&second, 1_000), 8), None);
     let expired = 1_000 + u64::try_from(Duration::from_secs(600).as_millis()).unwrap();
-    assert!(slots.take(request(&second, expired), 8).is_some());
+    assert!(slots.acquire(request(&second, expired), 8).is_some());
 }
 
 /// Two agents acquire the epoch of one backend server in the platform's store, one after the other.
@@ -378,7 +381,7 @@
     drive(&mut second, &platform, &server, &clock).await;
     assert_eq!(first.fence(clock.now()), Some(1));
     assert_eq!(second.fence(clock.now()), Some(2));
-    let later = clock.now() + LEASE;
+    let later = clock.now() + LEASE_DURATION;
     let renewal = first.poll(later).expect("a renewal");
     assert!(matches!(renewal, LeaseCall::Write(..)));
     let found = Some(Version(2));
