--- a/lib/src/order.rs
+++ b/lib/src/order.rs
@@ -16,12 +16,12 @@
 /// The factor applied to the expected run time. At 1.0, a job expected to run for T can be
 /// overtaken by short jobs for T. A larger factor gains little for short jobs, which are due almost
 /// immediately anyway, and a smaller one approaches first-in-first-out.
-pub const STRETCH: f64 = 1.0;
+pub const DELAY_FACTOR: f64 = 1.0;
 
 /// The longest time for which a job can be overtaken, however long it is expected to run.
 pub const MAX_DELAY: Duration = Duration::from_secs(15);
 
 /// The due time of a job that arrived at `arrival` and is expected to run for `service`.
-pub fn due(arrival: Time, service: Duration) -> Time {
-    arrival + service.mul_f64(STRETCH).min(MAX_DELAY)
+pub fn due_time(arrival: Time, service: Duration) -> Time {
+    arrival + service.mul_f64(DELAY_FACTOR).min(MAX_DELAY)
 }
--- a/lib/src/scheduler_admission.rs
+++ b/lib/src/scheduler_admission.rs
@@ -36,7 +36,7 @@
         let due = if spec.retried {
             now
         } else {
-            order::due(now, service)
+            order::due_time(now, service)
         };
         // Lengths vary widely: a job is refused only when even a short output would end too late.
         let shortest = self.token_gap.time_for(expected.low);
--- a/lib/tests/scheduling_parts.rs
+++ b/lib/tests/scheduling_parts.rs
@@ -12,7 +12,7 @@
 use cicada_lib::memory_plan::MemoryPlan;
 use cicada_lib::memory_plan::VictimCandidate;
 use cicada_lib::order::MAX_DELAY;
-use cicada_lib::order::due;
+use cicada_lib::order::due_time;
 use cicada_lib::time::Time;
 
 #[test]
@@ -52,9 +52,9 @@
 
 #[test]
 fn overtaking_is_bounded() {
-    let long = due(Time::ZERO, Duration::from_secs(3_600));
+    let long = due_time(Time::ZERO, Duration::from_secs(3_600));
     assert_eq!(long, Time::ZERO + MAX_DELAY);
-    assert!(due(Time::from_millis(1), Duration::ZERO) < long);
+    assert!(due_time(Time::from_millis(1), Duration::ZERO) < long);
 }
 
 #[test]
