--- a/lib/src/claim_commit.rs
+++ b/lib/src/claim_commit.rs
@@ -103,8 +103,8 @@
             (Update::Release, Some(true)) => {
                 self.put(change.key, change.run, ClaimState::Released);
             }
-            (Update::Done(answer), _) => {
-                self.put(change.key, change.run, ClaimState::Done(answer.clone()));
+            (Update::Done(response), _) => {
+                self.put(change.key, change.run, ClaimState::Done(response.clone()));
             }
         }
     }
--- a/lib/src/claim_pending.rs
+++ b/lib/src/claim_pending.rs
@@ -19,7 +19,7 @@
     pub(crate) id: WaiterId,
     pub(crate) key: KeyDigest,
     pub(crate) run: RunId,
-    // A write with this run was sent and its answer was lost, so it may still take effect.
+    // A write with this run was sent and its response was lost, so it may still take effect.
     pub(crate) maybe_written: bool,
     // The head in memory was read or written after this claim arrived.
     pub(crate) fresh: bool,
@@ -31,7 +31,7 @@
 pub(crate) enum LocalCall {
     Running(RunId),
     // The call ran, and its result is not in the store yet.
-    Answered(RecordedResponse),
+    Completed(RecordedResponse),
 }
 
 /// A head to be written, with the claims and changes that it contains.
--- a/lib/src/claim_retry.rs
+++ b/lib/src/claim_retry.rs
@@ -17,7 +17,7 @@
 #[derive(Default)]
 pub(crate) struct Retry {
     failed_reads: u32,
-    // After each write whose answer was lost, the head is read to learn whether the write took
+    // After each write whose response was lost, the head is read to learn whether the write took
     // effect. Such a successful read must not reset the count of failed writes.
     failed_writes: u32,
     not_before: Time,
@@ -61,7 +61,7 @@
         self.failed_reads >= self.max_attempts()
     }
 
-    /// Records that a commit failed, or that its answer was lost.
+    /// Records that a commit failed, or that its response was lost.
     pub(crate) fn write_failed(&mut self) {
         self.failed_writes += 1;
     }
--- a/lib/src/claim_shard.rs
+++ b/lib/src/claim_shard.rs
@@ -106,7 +106,7 @@
     pub fn claim(&mut self, now: Time, id: WaiterId, key: KeyDigest, rng: &mut fastrand::Rng) {
         let verdict = match self.local_calls.get(&key) {
             Some(LocalCall::Running(_)) => Some(Verdict::Running),
-            Some(LocalCall::Answered(answer)) => Some(Verdict::Done(answer.clone())),
+            Some(LocalCall::Completed(response)) => Some(Verdict::Done(response.clone())),
             None if self.retry.is_refusing(now) => Some(Verdict::Unavailable),
             None if self.waiting.len() >= self.settings.max_waiting => Some(Verdict::Full),
             None => None,
@@ -132,11 +132,11 @@
         waiter: WaiterId,
         key: KeyDigest,
         run: RunId,
-        answer: RecordedResponse,
+        response: RecordedResponse,
     ) {
         self.local_calls
-            .insert(key, LocalCall::Answered(answer.clone()));
-        self.add_change(now, key, run, Update::Done(answer), Some(waiter));
+            .insert(key, LocalCall::Completed(response.clone()));
+        self.add_change(now, key, run, Update::Done(response), Some(waiter));
     }
 
     /// Releases a claim whose call is proven not to have run.
@@ -148,8 +148,7 @@
 
     /// Removes a call whose ticket was dropped without a result. The call may have run.
     pub fn abandon(&mut self, key: KeyDigest, run: RunId) {
-        if matches!(self.local_calls.get(&key), Some(LocalCall::Running(current)) if *current == run)
-        {
+        if matches!(self.local_calls.get(&key), Some(LocalCall::Running(held)) if *held == run) {
             self.local_calls.remove(&key);
         }
     }
@@ -300,7 +299,7 @@
     fn resolve(&mut self, waiter: &mut Waiter) -> Option<Verdict> {
         match self.local_calls.get(&waiter.key) {
             Some(LocalCall::Running(_)) => return Some(Verdict::Running),
-            Some(LocalCall::Answered(answer)) => return Some(Verdict::Done(answer.clone())),
+            Some(LocalCall::Completed(response)) => return Some(Verdict::Done(response.clone())),
             None => {}
         }
         let entry = match self.view.lookup(waiter.key) {
@@ -321,7 +320,7 @@
             .index_entry(waiter.key)
             .map(|indexed| indexed.segment);
         match entry.state {
-            ClaimState::Done(answer) => Some(Verdict::Done(answer)),
+            ClaimState::Done(response) => Some(Verdict::Done(response)),
             ClaimState::Released => None,
             // A write whose response was lost did take effect.
             ClaimState::Claimed if entry.run == waiter.run => {
--- a/lib/src/claims.rs
+++ b/lib/src/claims.rs
@@ -192,7 +192,7 @@
                 Ok(Claim::Run(ticket))
             }
             Ok(ClaimReply::Verdict(Verdict::Running)) => Ok(Claim::Running),
-            Ok(ClaimReply::Verdict(Verdict::Done(answer))) => Ok(Claim::Done(answer)),
+            Ok(ClaimReply::Verdict(Verdict::Done(response))) => Ok(Claim::Done(response)),
             Ok(ClaimReply::Verdict(Verdict::Unsettled(writer))) => {
                 Ok(Claim::ElsewhereUnsettled { writer })
             }
@@ -205,10 +205,10 @@
     ///
     /// Returns once the record is in the store. On an error it stays in memory and is written
     /// later.
-    pub async fn settle(&self, mut ticket: ClaimTicket, answer: RecordedResponse) -> Result<()> {
+    pub async fn settle(&self, mut ticket: ClaimTicket, response: RecordedResponse) -> Result<()> {
         ticket.state = TicketState::Consumed;
         let (reply, verdict) = oneshot::channel();
-        let request = Request::Settle(ticket.key, ticket.run, answer, reply);
+        let request = Request::Settle(ticket.key, ticket.run, response, reply);
         let sent = ticket.shard.send(request);
         sent.map_err(|_| ClaimError::StoreUnavailable)?;
         await_write(verdict).await
@@ -353,9 +353,9 @@
                 self.pending_claims.insert(id, claim);
                 self.shard.claim(now, id, key, &mut self.rng);
             }
-            Request::Settle(key, run, answer, reply) => {
+            Request::Settle(key, run, response, reply) => {
                 self.pending_changes.insert(id, reply);
-                self.shard.settle(now, id, key, run, answer);
+                self.shard.settle(now, id, key, run, response);
             }
             Request::Release(key, run, reply) => {
                 self.pending_changes.insert(id, reply);
--- a/lib/tests/claims.rs
+++ b/lib/tests/claims.rs
@@ -66,13 +66,13 @@
     let ticket = fixture.ticket(&first, "deposit 7").await;
     let again = fixture.claim(&first, "deposit 7").await;
     assert!(matches!(again, Ok(Claim::Running)), "{again:?}");
-    let answer = RecordedResponse::new(201, b"booked");
-    let settled = first.settle(ticket, answer.clone()).await;
+    let response = RecordedResponse::new(201, b"booked");
+    let settled = first.settle(ticket, response.clone()).await;
     assert_eq!(settled, Ok(()));
     for process in [first, fixture.process("second")] {
         let resend = fixture.claim(&process, "deposit 7").await;
         match resend {
-            Ok(Claim::Done(recorded)) => assert_eq!(recorded, answer),
+            Ok(Claim::Done(recorded)) => assert_eq!(recorded, response),
             other => panic!("{other:?}"),
         }
     }
--- a/lib/tests/claims_model.rs
+++ b/lib/tests/claims_model.rs
@@ -268,10 +268,10 @@
     fn settle(&mut self, index: usize) {
         if let Some(ticket) = self.take_ticket(index, true) {
             self.next += 1;
-            let answer = RecordedResponse::new(200, &[ticket.key]);
+            let response = RecordedResponse::new(200, &[ticket.key]);
             let key = digest(ticket.key);
             let shard = &mut self.agents[index].shard;
-            shard.settle(self.now, self.next, key, ticket.run, answer);
+            shard.settle(self.now, self.next, key, ticket.run, response);
         }
     }
 
@@ -312,8 +312,8 @@
                     started: false,
                 }),
                 Verdict::Unavailable | Verdict::Full => self.refused.push(reply.waiter),
-                Verdict::Done(answer) => {
-                    assert_eq!(answer.body, [key], "another call's answer");
+                Verdict::Done(response) => {
+                    assert_eq!(response.body, [key], "another call's answer");
                     assert_eq!(self.effects.get(&key), Some(&1), "done, but never ran");
                 }
                 Verdict::Running | Verdict::Unsettled(_) => {}
