--- a/lib/src/change_log.rs
+++ b/lib/src/change_log.rs
@@ -1,8 +1,8 @@
-//! The latest changes of the list of backend servers, for entries that have missed some of them.
+//! A log of recent changes to the list of backend servers, for relays that have missed some of them.
 //!
-//! Load pattern: thousands of servers, of which some hundred change in a second, before hundreds of entries of which
-//! one watches for each region. A datagram does not hold what has changed, and an entry that reads the whole list
-//! instead takes hundreds of kilobytes, several times a second, over the link that its callers use.
+//! It is designed for thousands of servers, hundreds of which change each second, and hundreds of relays, one of which
+//! watches the directory for each region. The changes do not fit into a datagram, and a relay that reads the whole list
+//! instead transfers hundreds of kilobytes, several times a second, over the link that its callers use.
 
 use std::collections::VecDeque;
 
@@ -10,26 +10,27 @@
 use crate::site::ServerChange;
 use crate::site::ServerChanges;
 
-/// Changes that are kept: those of some seconds at the size that the system is built towards.
-const KEPT: usize = 4_096;
+/// The largest number of changes kept: those of a few seconds at the target size.
+const MAX_CHANGES: usize = 4_096;
 
-/// Changes that followed on a revision.
+/// The changes that directly follow a revision.
 #[derive(Clone, Debug)]
 struct Batch {
     after: Revision,
     changes: ServerChanges,
 }
 
-/// The latest changes, in order.
+/// The latest changes, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
-    // Each follows on the one before without a gap.
+    // Each batch follows the one before without a gap.
     batches: VecDeque<Batch>,
     count: usize,
 }
 
 impl ChangeLog {
-    /// Notes changes that followed on the revision `after`.
+    /// Appends the changes that directly follow the revision `after`. Ignores changes that are not newer than the log,
+    /// and clears it first if changes between it and `after` are missing.
     pub fn push(&mut self, after: Revision, changes: &ServerChanges) {
         let last = self.batches.back().map(|batch| batch.changes.revision);
         if last.is_some_and(|last| changes.revision <= last) {
@@ -43,7 +44,7 @@
             after,
             changes: changes.clone(),
         });
-        while self.count > KEPT {
+        while self.count > MAX_CHANGES {
             let Some(oldest) = self.batches.pop_front() else {
                 return;
             };
@@ -51,14 +52,14 @@
         }
     }
 
-    /// Forgets all: a whole list was taken over, and what came between is not known.
+    /// Clears the log. Used after a whole list was read, since the changes leading to it are unknown.
     pub fn clear(&mut self) {
         self.batches.clear();
         self.count = 0;
     }
 
-    /// What has changed after the revision; `None` where not all of it is kept. Some of it may have been before: applied
-    /// once more in this order it changes nothing.
+    /// Returns the changes after the revision; `None` if there are none or some are no longer in the log. Batches are
+    /// not split, so some changes may be at or before the revision: applying them again in order has no effect.
     pub fn since(&self, revision: Revision) -> Option<ServerChanges> {
         let mut missed = self.batches.iter();
         let first = missed.position(|batch| batch.changes.revision > revision)?;
--- a/lib/src/revision.rs
+++ b/lib/src/revision.rs
@@ -1,7 +1,7 @@
-//! Revisions of the directory, which order what is known of it wherever it comes from.
+//! Revisions of the directory, which order its listings and changes regardless of their source.
 //!
-//! A store may go back to a copy of itself some seconds old. What it had taken since is gone and is written again, and
-//! the numbers of its revisions are given out again: a number says nothing without the copy that it counts on from.
+//! The store may revert to a copy that is some seconds old. Entries written since then are lost until their writers
+//! write them again, and revision numbers are reused, so a number is only meaningful together with its era.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,26 +9,26 @@
 use crate::copy_type;
 use crate::time::Time;
 
-/// How long after the directory's return entries may be missing, or be there again, until those who wrote them have
-/// written them anew.
+/// How long after the directory has reverted entries may be missing, or deleted ones present again, until their writers
+/// have written them again.
 pub const RETURN: Duration = Duration::from_millis(2_300);
 
 copy_type! {
-    /// The revision of the directory that a listing or change belongs to. Later ones are greater.
+    /// The revision of the directory at which a listing or change was read. Later revisions compare greater.
     #[derive(Default)]
     pub struct Revision {
-        /// How often the directory has gone back to an older copy of itself.
+        /// How often the directory has reverted to an older copy.
         pub era: u64,
-        /// Its number, within the era.
+        /// The revision number within the era.
         pub number: u64,
-        /// Whether the listing has all that the directory has taken: after its return entries are missing that
-        /// are written again.
+        /// Whether the listing is complete. After the directory has reverted, entries are missing until they are
+        /// written again.
         pub whole: bool,
     }
 }
 
 impl Revision {
-    /// The revision of a complete listing, or of a change that follows on one.
+    /// Creates the revision of a complete listing, or of a change to one.
     pub fn new(era: u64, number: u64) -> Self {
         Revision {
             era,
@@ -37,12 +37,12 @@
         }
     }
 
-    /// The same revision, of a listing that is complete or not.
+    /// Returns the same revision for a complete or incomplete listing.
     pub fn with_whole(self, whole: bool) -> Self {
         Revision { whole, ..self }
     }
 
-    /// Whether anything was read.
+    /// Whether this is the revision of something that was read, not the default.
     pub fn is_known(self) -> bool {
         self > Revision::default()
     }
@@ -54,31 +54,31 @@
     }
 }
 
-/// The latest era of the directory, and since when it is known.
+/// Tracks the latest era of the directory, and when it was first seen.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SeenEra {
     seen: Option<(u64, Time)>,
 }
 
 impl SeenEra {
-    /// The era; zero where none is known.
+    /// Returns the latest era; zero if none is known.
     pub fn era(&self) -> u64 {
         self.seen.map_or(0, |(era, _)| era)
     }
 
-    /// Something was read at the revision; whether that shows that the directory has gone back.
+    /// Records the revision of something that was read. Returns whether it shows that the directory has reverted.
     pub fn saw(&mut self, now: Time, revision: Revision) -> bool {
         match self.seen {
             Some((era, _)) if revision.era <= era => false,
-            before => {
+            previous => {
                 self.seen = Some((revision.era, now));
-                before.is_some()
+                previous.is_some()
             }
         }
     }
 
-    /// Whether all has been written again that was lost at the beginning of the era. A process that has just started does
-    /// not know when that was.
+    /// Whether enough time has passed since the directory reverted for lost entries to have been written again. A
+    /// process that has just started does not know when it reverted, and counts from the first revision it sees.
     pub fn is_settled(&self, now: Time) -> bool {
         let since = self.seen.filter(|(era, _)| *era > 0);
         since.is_none_or(|(_, since)| now.since(since) >= RETURN)
--- a/lib/tests/change_log.rs
+++ b/lib/tests/change_log.rs
@@ -1,4 +1,4 @@
-//! Changes of the list of backend servers, kept for entries that have missed some.
+//! Tests of the log of changes to the list of backend servers.
 
 use cicada_lib::change_log::ChangeLog;
 use cicada_lib::ids::Name;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_was_missed_is_told_in_order() {
+fn missed_changes_are_returned_in_order() {
     let mut log = ChangeLog::default();
     log.push(Revision::new(0, 10), &changes(&[11], 11));
     log.push(Revision::new(0, 11), &changes(&[13, 14], 14));
@@ -31,7 +31,7 @@
         log.since(Revision::new(0, 11)),
         Some(changes(&[13, 14], 14))
     );
-    // Part of a batch may be known: it is told whole.
+    // Batches are not split, even if part of one is already known.
     assert_eq!(
         log.since(Revision::new(0, 13)),
         Some(changes(&[13, 14], 14))
@@ -40,13 +40,13 @@
     assert_eq!(
         log.since(Revision::new(0, 9)),
         None,
-        "what came before is not kept"
+        "earlier changes are not in the log"
     );
 }
 
-/// Guards against an entry that is told what followed, and not what came between.
+/// Guards against returning changes with a gap: a relay would not learn of the changes between.
 #[test]
-fn a_gap_ends_what_can_be_told() {
+fn changes_before_a_gap_are_dropped() {
     let mut log = ChangeLog::default();
     log.push(Revision::new(0, 10), &changes(&[11], 11));
     log.push(Revision::new(0, 20), &changes(&[21], 21));
@@ -56,9 +56,9 @@
     assert_eq!(log.since(Revision::new(0, 20)), None);
 }
 
-/// The log is bounded, and forgets the oldest.
+/// The log is bounded, and drops its oldest changes.
 #[test]
-fn old_changes_are_forgotten() {
+fn oldest_changes_are_dropped() {
     let mut log = ChangeLog::default();
     (0..10_000).for_each(|n| log.push(Revision::new(0, n), &changes(&[n + 1], n + 1)));
     assert_eq!(log.since(Revision::new(0, 0)), None);
@@ -67,8 +67,8 @@
 }
 
 quickcheck! {
-    /// Whoever takes over what a log tells has heard of every change.
-    fn nothing_is_left_out(sizes: Vec<u8>, from: u64) -> bool {
+    /// The changes returned for a revision include every later change.
+    fn no_change_is_omitted(sizes: Vec<u8>, from: u64) -> bool {
         let mut log = ChangeLog::default();
         let mut at = 5;
         for size in sizes {
@@ -80,7 +80,7 @@
         let from = 5 + from % (at - 4);
         match log.since(Revision::new(0, from)) {
             None => from == at,
-            Some(told) => (from + 1..=at).all(|n| told.changes.contains(&gone(n))),
+            Some(missed) => (from + 1..=at).all(|n| missed.changes.contains(&gone(n))),
         }
     }
 }
--- a/lib/tests/revision.rs
+++ b/lib/tests/revision.rs
@@ -1,4 +1,4 @@
-//! Revisions of a directory that goes back to older copies of itself.
+//! Tests of revisions of a directory that reverts to older copies.
 
 use cicada_lib::ids::Name;
 use cicada_lib::revision::RETURN;
@@ -18,9 +18,9 @@
     }
 }
 
-/// Guards against a change that is taken for old, since its number was given out before.
+/// Guards against taking a change for an old one because the directory has reverted and reuses its revision number.
 #[test]
-fn a_revision_of_a_later_era_is_later_whatever_its_number() {
+fn revision_of_later_era_is_later_regardless_of_number() {
     assert!(Revision::new(1, 25) > Revision::new(0, 28));
     assert!(Revision::new(1, 25) < Revision::new(1, 27));
     let incomplete = Revision::new(1, 25).with_whole(false);
@@ -28,29 +28,29 @@
     assert!(incomplete.is_known() && !Revision::default().is_known());
 }
 
-/// Guards against a list that is taken for complete while what the directory lost is being written again.
+/// Guards against taking a list for complete while entries that the directory lost are still being written again.
 #[test]
-fn an_era_settles_when_all_can_have_been_written_again() {
+fn era_settles_after_entries_can_have_been_rewritten() {
     let mut seen = SeenEra::default();
     assert!(!seen.saw(at(10), Revision::new(0, 7)));
-    assert!(seen.is_settled(at(10)), "it has never gone back");
+    assert!(seen.is_settled(at(10)), "it has never reverted");
     assert!(seen.saw(at(1_000), Revision::new(1, 5)));
     assert!(!seen.saw(at(1_100), Revision::new(1, 9)));
     assert!(
         !seen.saw(at(1_200), Revision::new(0, 9)),
-        "an answer from before"
+        "a response from the earlier era"
     );
     assert_eq!(seen.era(), 1);
     assert!(!seen.is_settled(at(1_200)));
     assert!(seen.is_settled(at(1_000) + RETURN));
     let mut started = SeenEra::default();
     assert!(!started.saw(at(0), Revision::new(3, 5)));
-    assert!(!started.is_settled(at(1)), "it may have gone back just now");
+    assert!(!started.is_settled(at(1)), "it may have just reverted");
 }
 
-/// Guards against an evacuation that ends since the directory has lost it, or never ends since it was kept.
+/// Guards against ending an evacuation because the directory has lost its entry, and against keeping it forever.
 #[test]
-fn an_evacuation_holds_until_it_can_have_been_written_again() {
+fn evacuation_persists_until_it_can_have_been_rewritten() {
     let mut known = zones(Revision::new(0, 28), &["a"]);
     let incomplete = Revision::new(1, 25).with_whole(false);
     assert!(known.update(&zones(incomplete, &["b"])).ended.is_empty());
@@ -58,7 +58,7 @@
     let later = Revision::new(1, 26).with_whole(false);
     assert!(
         known.update(&zones(later, &[])).is_empty(),
-        "an entry that has just started"
+        "incomplete listing of a relay that has just started"
     );
     assert!(known.update(&zones(Revision::new(0, 29), &[])).is_empty());
     let again = known.update(&zones(Revision::new(1, 26), &["b"]));
