--- a/cli/src/cmd_change.rs
+++ b/cli/src/cmd_change.rs
@@ -5,8 +5,8 @@
 
 use cicada_lib::config::Config;
 use cicada_lib::config::Rights;
-use cicada_lib::config_apply::ConfigMark;
-use cicada_lib::config_chunks::Loaded;
+use cicada_lib::config_apply::ConfigVersionId;
+use cicada_lib::config_chunks::LoadedConfig;
 use cicada_lib::config_edit::Change;
 use cicada_lib::config_edit::Edit;
 use cicada_lib::config_store::CommitError;
@@ -79,7 +79,7 @@
     finish(session, &worked, &committed).await
 }
 
-fn check_base(session: &Session, base: Option<&Loaded>) -> Result<()> {
+fn check_base(session: &Session, base: Option<&LoadedConfig>) -> Result<()> {
     let found = base.map_or(0, |b| b.version.0);
     match session.run.base {
         Some(wanted) if wanted.0 != found => {
@@ -93,7 +93,7 @@
     }
 }
 
-fn work_out(source: &str, base: Option<&Loaded>, statements: &[Statement]) -> Result<Worked> {
+fn work_out(source: &str, base: Option<&LoadedConfig>, statements: &[Statement]) -> Result<Worked> {
     let config = base.map_or_else(Config::default, |b| b.config.as_ref().clone());
     let mut evaluator = Evaluator::new(config);
     let mut edits = Vec::new();
@@ -134,7 +134,7 @@
 
 fn dry_run(
     session: &Session,
-    base: Option<&Loaded>,
+    base: Option<&LoadedConfig>,
     statements: &[Statement],
     change: &Change,
 ) -> Result<()> {
@@ -168,7 +168,7 @@
         print_secrets(&worked.issued);
     }
     let reached = match session.run.wait {
-        Some(limit) => Some(wait(session, ConfigMark::of(&committed.loaded), limit).await),
+        Some(limit) => Some(wait(session, ConfigVersionId::of(&committed.loaded), limit).await),
         None => None,
     };
     if session.run.json {
@@ -187,7 +187,7 @@
 }
 
 // Asks until every process of the platform's list follows the version, or the time is over.
-async fn wait(session: &Session, ours: ConfigMark, limit: Duration) -> Reached {
+async fn wait(session: &Session, ours: ConfigVersionId, limit: Duration) -> Reached {
     let end = Instant::now() + limit;
     loop {
         let reached = match session.hosts().await {
@@ -201,11 +201,11 @@
     }
 }
 
-async fn round(session: &Session, ours: &ConfigMark, hosts: Vec<HostRecord>) -> Reached {
+async fn round(session: &Session, ours: &ConfigVersionId, hosts: Vec<HostRecord>) -> Reached {
     let reports = session.ask(hosts).await;
     // Others may have committed on top, and their versions hold this change too.
     let newest = match session.store.root().await {
-        Ok(Some(found)) => ConfigMark {
+        Ok(Some(found)) => ConfigVersionId {
             version: found.root.version,
             digest: found.digest,
         },
@@ -225,7 +225,11 @@
 // Failure: the store was restored, and a process follows a version of the time before with a larger
 // number. Symptom: its number would pass for one that holds the change. The store's newest version
 // bounds the numbers that do.
-fn missing(report: &ProcessReport, ours: &ConfigMark, newest: &ConfigMark) -> Option<Missing> {
+fn missing(
+    report: &ProcessReport,
+    ours: &ConfigVersionId,
+    newest: &ConfigVersionId,
+) -> Option<Missing> {
     let why = match &report.page {
         Err(why) => format!("unreachable: {why}"),
         Ok(page) => match (report.standing(ours), report.standing(newest)) {
--- a/cli/src/cmd_show.rs
+++ b/cli/src/cmd_show.rs
@@ -1,6 +1,6 @@
 //! `show`: tables of the configuration and of what processes say.
 
-use cicada_lib::config_apply::ConfigMark;
+use cicada_lib::config_apply::ConfigVersionId;
 use cicada_lib::query::Show;
 use cicada_lib::query_rows::check_show;
 
@@ -25,7 +25,7 @@
         live_table(
             show.table,
             &loaded.config,
-            &ConfigMark::of(&loaded),
+            &ConfigVersionId::of(&loaded),
             &reports,
         )
     } else {
--- a/cli/src/session.rs
+++ b/cli/src/session.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cicada_lib::config::Rights;
-use cicada_lib::config_chunks::Loaded;
+use cicada_lib::config_chunks::LoadedConfig;
 use cicada_lib::config_store::ConfigStore;
 use cicada_lib::ids::Name;
 use cicada_lib::platform::HostRecord;
@@ -51,7 +51,7 @@
 
     /// Reads the configuration, and sees that the operator may do what it asks for. `None` before the
     /// first commit, which has no operators to ask for.
-    pub(crate) async fn load(&self, needed: Rights) -> Result<Option<Loaded>> {
+    pub(crate) async fn load(&self, needed: Rights) -> Result<Option<LoadedConfig>> {
         let Some(loaded) = self.store.load().await? else {
             return Ok(None);
         };
@@ -78,7 +78,7 @@
     }
 
     /// As [`Session::load`], where there must be a configuration.
-    pub(crate) async fn loaded(&self) -> Result<Loaded> {
+    pub(crate) async fn loaded(&self) -> Result<LoadedConfig> {
         let missing = || {
             let text = "there is no configuration yet";
             Error::Unusable(format!(
--- a/cli/src/status.rs
+++ b/cli/src/status.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cicada_lib::config_apply::ConfigMark;
+use cicada_lib::config_apply::ConfigVersionId;
 use cicada_lib::platform::HostRecord;
 use futures_util::StreamExt;
 use futures_util::stream;
@@ -55,7 +55,7 @@
     }
 
     /// How the version that the process follows stands to the store's newest.
-    pub(crate) fn standing(&self, newest: &ConfigMark) -> Standing {
+    pub(crate) fn standing(&self, newest: &ConfigVersionId) -> Standing {
         let Ok(page) = &self.page else {
             return Standing::Unreachable;
         };
--- a/cli/src/tables.rs
+++ b/cli/src/tables.rs
@@ -10,7 +10,7 @@
 use cicada_lib::config::Rights;
 use cicada_lib::config::ServiceConfig;
 use cicada_lib::config::ServiceKind;
-use cicada_lib::config_apply::ConfigMark;
+use cicada_lib::config_apply::ConfigVersionId;
 use cicada_lib::config_chunks::Root;
 use cicada_lib::ids::Name;
 use cicada_lib::platform::HostRole;
@@ -142,7 +142,7 @@
 pub(crate) fn live_table(
     kind: TableKind,
     config: &Config,
-    newest: &ConfigMark,
+    newest: &ConfigVersionId,
     reports: &[ProcessReport],
 ) -> Table {
     let agents = reports.iter().filter(|r| r.host.role == HostRole::Agent);
@@ -337,7 +337,7 @@
 
 // The store's version is listed also where no process follows it yet. Processes that do not answer
 // stand last, under no version.
-fn versions(newest: &ConfigMark, reports: &[ProcessReport]) -> Vec<Vec<Cell>> {
+fn versions(newest: &ConfigVersionId, reports: &[ProcessReport]) -> Vec<Vec<Cell>> {
     let mut groups: BTreeMap<Group, Vec<String>> = BTreeMap::new();
     groups.insert(Group::of_mark(newest), Vec::new());
     for report in reports {
@@ -368,7 +368,7 @@
 }
 
 impl Group {
-    fn of_mark(newest: &ConfigMark) -> Self {
+    fn of_mark(newest: &ConfigVersionId) -> Self {
         Group {
             version: Some(newest.version.0),
             digest: newest.digest.to_string(),
@@ -376,7 +376,7 @@
         }
     }
 
-    fn of(report: &ProcessReport, newest: &ConfigMark) -> Self {
+    fn of(report: &ProcessReport, newest: &ConfigVersionId) -> Self {
         let page = report.page.as_ref().ok();
         Group {
             version: page.map(|p| p.version),
--- a/daemon/src/agent.rs
+++ b/daemon/src/agent.rs
@@ -9,7 +9,7 @@
 use cicada_lib::claims::ClaimSettings;
 use cicada_lib::claims::Claims;
 use cicada_lib::config::WorkspaceConfig;
-use cicada_lib::config_chunks::Loaded;
+use cicada_lib::config_chunks::LoadedConfig;
 use cicada_lib::daemon_settings::BackendKind;
 use cicada_lib::daemon_settings::Settings;
 use cicada_lib::engine_http::HttpEngine;
@@ -113,7 +113,7 @@
 struct DeskSink(mpsc::Sender<DeskEvent>);
 
 impl ConfigSink for DeskSink {
-    fn changed(&self, loaded: &Arc<Loaded>) {
+    fn changed(&self, loaded: &Arc<LoadedConfig>) {
         // The queue is full only when the desk is far behind; the next version brings all of it.
         if self.0.try_send(DeskEvent::Config(loaded.clone())).is_err() {
             tracing::warn!("agent: the desk is behind and missed a configuration");
--- a/daemon/src/config_controller.rs
+++ b/daemon/src/config_controller.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use cicada_lib::config_apply::ConfigState;
-use cicada_lib::config_apply::Verdict;
-use cicada_lib::config_chunks::Loaded;
-use cicada_lib::config_chunks::Parts;
+use cicada_lib::config_apply::VersionComparison;
+use cicada_lib::config_chunks::EncodedConfig;
+use cicada_lib::config_chunks::LoadedConfig;
 use cicada_lib::config_pull::ConfigPuller;
 use cicada_lib::config_pull::PullContext;
 use cicada_lib::config_pull::PullSource;
@@ -36,7 +36,7 @@
 /// Told of each configuration that comes into force.
 pub(crate) trait ConfigSink: Send + Sync {
     /// A newer configuration is in force.
-    fn changed(&self, loaded: &Arc<Loaded>);
+    fn changed(&self, loaded: &Arc<LoadedConfig>);
 }
 
 /// Where versions come from.
@@ -62,7 +62,7 @@
     // The version of the root object that a watch goes on from; `None` before the first reading.
     watched: Option<Version>,
     // What was read of a version that is not whole yet, and of the one in force.
-    parts: Parts,
+    parts: EncodedConfig,
 }
 
 impl ConfigController {
@@ -82,7 +82,7 @@
             sinks,
             state: ConfigState::new(),
             watched: None,
-            parts: Parts::default(),
+            parts: EncodedConfig::default(),
         }
     }
 
@@ -99,7 +99,7 @@
             let knows_others = !self.process.hosts().is_empty();
             let watcher = knows_others && self.sources.net.membership().is_watcher(now);
             let seen = self.sources.net.membership().best_config();
-            let own = self.state.mark();
+            let own = self.state.version_id();
             let view = PullContext {
                 own: own.as_ref(),
                 seen: seen.as_ref(),
@@ -160,7 +160,7 @@
             let membership = self.sources.net.membership();
             let newer = membership
                 .best_config()
-                .is_some_and(|seen| self.state.judge(seen.mark) == Verdict::Newer);
+                .is_some_and(|seen| self.state.compare(seen.mark) == VersionComparison::Newer);
             if newer || !membership.is_watcher(now) {
                 return;
             }
@@ -211,13 +211,13 @@
     }
 
     /// Reads the root, and the rest only where the root is newer than what is in force.
-    async fn read(&mut self) -> config_store::Result<Option<Loaded>> {
+    async fn read(&mut self) -> config_store::Result<Option<LoadedConfig>> {
         let Some(root) = self.sources.store.root().await? else {
             return Ok(None);
         };
         let newer = self.note_root(&root);
         if !newer && self.state.current().is_some() {
-            return Ok(self.state.current().map(|held| Loaded {
+            return Ok(self.state.current().map(|held| LoadedConfig {
                 stored: Some(root.stored),
                 ..held.as_ref().clone()
             }));
@@ -229,27 +229,30 @@
     /// as from a store that was restored from a copy, is counted and refused.
     fn note_root(&mut self, root: &StoredRoot) -> bool {
         self.watched = Some(root.stored);
-        let mark = cicada_lib::config_apply::ConfigMark {
+        let mark = cicada_lib::config_apply::ConfigVersionId {
             version: root.root.version,
             digest: root.digest,
         };
-        let verdict = self.state.note(mark, self.clock.now());
-        if matches!(verdict, Verdict::Older | Verdict::Conflicting) {
+        let comparison = self.state.observe(mark, self.clock.now());
+        if matches!(
+            comparison,
+            VersionComparison::Older | VersionComparison::Conflicting
+        ) {
             tracing::warn!(
                 version = root.root.version.0,
                 "config: the store gave an older version, which is refused"
             );
             self.metrics.refused();
         }
-        verdict == Verdict::Newer
+        comparison == VersionComparison::Newer
     }
 
-    fn apply(&mut self, loaded: Loaded) {
-        if self.state.judge(mark_of(&loaded)) != Verdict::Newer {
+    fn apply(&mut self, loaded: LoadedConfig) {
+        if self.state.compare(mark_of(&loaded)) != VersionComparison::Newer {
             return;
         }
         let now = self.clock.now();
-        self.state.offer(loaded, now);
+        self.state.apply_if_newer(loaded, now);
         let Some(loaded) = self.state.current().cloned() else {
             return;
         };
--- a/daemon/src/desk.rs
+++ b/daemon/src/desk.rs
@@ -11,7 +11,7 @@
 use cicada_lib::claims;
 use cicada_lib::claims::Claim;
 use cicada_lib::claims::Claims;
-use cicada_lib::config_chunks::Loaded;
+use cicada_lib::config_chunks::LoadedConfig;
 use cicada_lib::ids::Name;
 use cicada_lib::outcome::FailureReason;
 use cicada_lib::outcome::Outcome;
@@ -53,7 +53,7 @@
     /// Take no new work.
     Drain,
     /// A newer configuration is in force.
-    Config(Arc<Loaded>),
+    Config(Arc<LoadedConfig>),
     /// The store's word on a keyed call.
     Claimed(RecordKey, claims::Result<Claim>),
     /// Evidence from another process.
@@ -186,7 +186,7 @@
         }
     }
 
-    pub(crate) fn configure(&mut self, loaded: &Loaded) {
+    pub(crate) fn configure(&mut self, loaded: &LoadedConfig) {
         for (name, workspace) in &loaded.config.workspaces {
             self.scheduler.set_policy(name, policy(workspace));
         }
--- a/daemon/src/filters.rs
+++ b/daemon/src/filters.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::Mutex;
 
-use cicada_lib::config_chunks::Loaded;
+use cicada_lib::config_chunks::LoadedConfig;
 use cicada_lib::ids::Name;
 use cicada_lib::outcome::NotRun;
 use cicada_lib::outcome::RefusalReason;
@@ -26,7 +26,7 @@
     /// Its headers.
     pub(crate) headers: &'a HeaderMap,
     /// The configuration under which it is served to its end.
-    pub(crate) config: Arc<Loaded>,
+    pub(crate) config: Arc<LoadedConfig>,
     /// Who is charged; set by [`Authenticate`].
     pub(crate) workspace: Name,
     /// The caller's key; set by [`Authenticate`].
--- a/daemon/src/peer_ask.rs
+++ b/daemon/src/peer_ask.rs
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cicada_lib::config_apply::ConfigMark;
+use cicada_lib::config_apply::ConfigVersionId;
 use cicada_lib::config_chunks::Chunk;
-use cicada_lib::config_chunks::Loaded;
-use cicada_lib::config_chunks::Parts;
+use cicada_lib::config_chunks::EncodedConfig;
+use cicada_lib::config_chunks::LoadedConfig;
 use cicada_lib::config_chunks::assemble;
 use cicada_lib::handshake;
 use cicada_lib::platform::HostRecord;
@@ -49,14 +49,17 @@
 }
 
 /// The number and digest of a version.
-pub(crate) fn mark_of(loaded: &Loaded) -> ConfigMark {
-    ConfigMark {
+pub(crate) fn mark_of(loaded: &LoadedConfig) -> ConfigVersionId {
+    ConfigVersionId {
         version: loaded.version,
         digest: loaded.digest,
     }
 }
 
-fn parts_for(loaded: &Loaded, held: &[cicada_lib::config_chunks::ChunkDigest]) -> ConfigParts {
+fn parts_for(
+    loaded: &LoadedConfig,
+    held: &[cicada_lib::config_chunks::ChunkDigest],
+) -> ConfigParts {
     let lacking = loaded
         .parts
         .chunks
@@ -72,10 +75,10 @@
 pub(crate) async fn config(
     peer: SocketAddr,
     settings: &LinkSettings,
-    mark: &ConfigMark,
-    held: Option<&Arc<Loaded>>,
-) -> Result<Option<Loaded>> {
-    let mut parts = held.map_or_else(Parts::default, |held| held.parts.as_ref().clone());
+    mark: &ConfigVersionId,
+    held: Option<&Arc<LoadedConfig>>,
+) -> Result<Option<LoadedConfig>> {
+    let mut parts = held.map_or_else(EncodedConfig::default, |held| held.parts.as_ref().clone());
     let ask = PeerAsk::Config {
         mark: mark.clone(),
         held: parts.chunks.keys().copied().collect(),
--- a/daemon/src/status.rs
+++ b/daemon/src/status.rs
@@ -10,7 +10,7 @@
 
 use arc_swap::ArcSwap;
 use arc_swap::ArcSwapOption;
-use cicada_lib::config_chunks::Loaded;
+use cicada_lib::config_chunks::LoadedConfig;
 use cicada_lib::daemon_settings::Settings;
 use cicada_lib::ids::Name;
 use cicada_lib::platform::HostRecord;
@@ -62,7 +62,7 @@
     name: Name,
     incarnation: u64,
     metrics: Metrics,
-    config: ArcSwapOption<Loaded>,
+    config: ArcSwapOption<LoadedConfig>,
     // As the platform gave it last.
     hosts: ArcSwap<Vec<HostRecord>>,
     state: AtomicU8,
@@ -110,7 +110,7 @@
     }
 
     /// The configuration in force. Traffic threads read it without a lock.
-    pub(crate) fn config(&self) -> Option<Arc<Loaded>> {
+    pub(crate) fn config(&self) -> Option<Arc<LoadedConfig>> {
         self.config.load_full()
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Puts a configuration in force.
-    pub(crate) fn set_config(&self, loaded: Arc<Loaded>) {
+    pub(crate) fn set_config(&self, loaded: Arc<LoadedConfig>) {
         self.config.store(Some(loaded));
         self.note_ready();
     }
--- a/lib/examples/config_trial.rs
+++ b/lib/examples/config_trial.rs
@@ -13,7 +13,7 @@
 use cicada_lib::config::Rights;
 use cicada_lib::config::ServiceConfig;
 use cicada_lib::config::WorkspaceConfig;
-use cicada_lib::config_chunks::Parts;
+use cicada_lib::config_chunks::EncodedConfig;
 use cicada_lib::config_chunks::assemble;
 use cicada_lib::config_chunks::split_into;
 use cicada_lib::config_edit::Action;
@@ -195,7 +195,7 @@
         let found = store.watch_root(stored, Duration::ZERO).await;
         let found = found.expect("it works").expect("it is newer");
         store
-            .load_found(&found, &base.parts)
+            .load_from_root(&found, &base.parts)
             .await
             .expect("whole parts");
     }
@@ -207,7 +207,7 @@
     println!("| (each of the others pulls {pulled} B from a peer) | | | |");
 }
 
-fn pulled(held: &Parts, next: &Parts) -> usize {
+fn pulled(held: &EncodedConfig, next: &EncodedConfig) -> usize {
     let new = next
         .chunks
         .iter()
--- a/lib/examples/gossip_trial.rs
+++ b/lib/examples/gossip_trial.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use cicada_lib::config_apply::ConfigMark;
+use cicada_lib::config_apply::ConfigVersionId;
 use cicada_lib::config_chunks::root_digest;
 use cicada_lib::ids::Version;
 use cicada_lib::roster::MemberState;
@@ -82,7 +82,7 @@
     for node in &mut net.nodes {
         node.follows = true;
     }
-    let mark = ConfigMark {
+    let mark = ConfigVersionId {
         version: Version(1),
         digest: root_digest(b"1"),
     };
--- a/lib/src/config_apply.rs
+++ b/lib/src/config_apply.rs
@@ -9,7 +9,7 @@
 
 use crate::config::Config;
 use crate::config_chunks::ConfigDigest;
-use crate::config_chunks::Loaded;
+use crate::config_chunks::LoadedConfig;
 use crate::copy_type;
 use crate::ids::Version;
 use crate::time::Time;
@@ -17,7 +17,7 @@
 
 copy_type! {
     /// How another version compares with the one in force.
-    pub enum Verdict {
+    pub enum VersionComparison {
         /// It is newer, and is to be fetched and applied.
         Newer,
         /// It is the one in force.
@@ -44,7 +44,7 @@
     }
 
     /// Identifies a version by number and digest; this is what gossip carries.
-    pub struct ConfigMark {
+    pub struct ConfigVersionId {
         /// The version number.
         pub version: Version,
         /// The digest of the root.
@@ -52,10 +52,10 @@
     }
 }
 
-impl ConfigMark {
+impl ConfigVersionId {
     /// Returns the identity of a loaded version.
-    pub fn of(loaded: &Loaded) -> Self {
-        ConfigMark {
+    pub fn of(loaded: &LoadedConfig) -> Self {
+        ConfigVersionId {
             version: loaded.version,
             digest: loaded.digest,
         }
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ConfigState {
     // Only ever replaced by a version with a higher number.
-    current: Option<Arc<Loaded>>,
+    current: Option<Arc<LoadedConfig>>,
     applied_at: Time,
     confirmed_at: Time,
     counts: ApplyCounts,
@@ -79,7 +79,7 @@
     }
 
     /// Returns the version in force.
-    pub fn current(&self) -> Option<&Arc<Loaded>> {
+    pub fn current(&self) -> Option<&Arc<LoadedConfig>> {
         self.current.as_ref()
     }
 
@@ -89,8 +89,8 @@
     }
 
     /// Returns the number and digest of the version in force.
-    pub fn mark(&self) -> Option<ConfigMark> {
-        self.current.as_ref().map(|l| ConfigMark::of(l))
+    pub fn version_id(&self) -> Option<ConfigVersionId> {
+        self.current.as_ref().map(|l| ConfigVersionId::of(l))
     }
 
     /// Returns when the version in force was applied; [`Time::ZERO`] before the first one.
@@ -100,7 +100,7 @@
 
     /// Returns the time since the store last reported the version in force as the newest. It bounds
     /// how stale the configuration of a partitioned process may be.
-    pub fn unconfirmed(&self, now: Time) -> Duration {
+    pub fn time_since_confirmed(&self, now: Time) -> Duration {
         now.since(self.confirmed_at)
     }
 
@@ -110,47 +110,47 @@
     }
 
     /// Compares a version with the one in force. Does not check whether its content is valid.
-    pub fn judge(&self, mark: ConfigMark) -> Verdict {
-        let Some(current) = self.mark() else {
-            return Verdict::Newer;
+    pub fn compare(&self, id: ConfigVersionId) -> VersionComparison {
+        let Some(current) = self.version_id() else {
+            return VersionComparison::Newer;
         };
-        match mark.version.cmp(&current.version) {
-            std::cmp::Ordering::Greater => Verdict::Newer,
-            std::cmp::Ordering::Less => Verdict::Older,
-            std::cmp::Ordering::Equal if mark.digest == current.digest => Verdict::Same,
-            std::cmp::Ordering::Equal => Verdict::Conflicting,
+        match id.version.cmp(&current.version) {
+            std::cmp::Ordering::Greater => VersionComparison::Newer,
+            std::cmp::Ordering::Less => VersionComparison::Older,
+            std::cmp::Ordering::Equal if id.digest == current.digest => VersionComparison::Same,
+            std::cmp::Ordering::Equal => VersionComparison::Conflicting,
         }
     }
 
     /// Compares a version received from the store or a peer, and counts it if it is rejected. Use
-    /// [`ConfigState::judge`] for peers that may simply be behind.
-    pub fn note(&mut self, mark: ConfigMark, now: Time) -> Verdict {
-        let verdict = self.judge(mark);
-        match verdict {
-            Verdict::Newer => {}
-            Verdict::Same => self.confirmed_at = now,
-            Verdict::Older => self.counts.older += 1,
-            Verdict::Conflicting => self.counts.conflicting += 1,
+    /// [`ConfigState::compare`] for peers that may simply be behind.
+    pub fn observe(&mut self, id: ConfigVersionId, now: Time) -> VersionComparison {
+        let comparison = self.compare(id);
+        match comparison {
+            VersionComparison::Newer => {}
+            VersionComparison::Same => self.confirmed_at = now,
+            VersionComparison::Older => self.counts.older += 1,
+            VersionComparison::Conflicting => self.counts.conflicting += 1,
         }
-        verdict
+        comparison
     }
 
     /// Applies a version atomically if it is newer than the one in force.
     ///
-    /// A [`Loaded`] exists only after validation, so its content is not checked again.
-    pub fn offer(&mut self, loaded: Loaded, now: Time) -> Verdict {
-        let verdict = self.note(ConfigMark::of(&loaded), now);
-        if verdict == Verdict::Newer {
+    /// A [`LoadedConfig`] exists only after validation, so its content is not checked again.
+    pub fn apply_if_newer(&mut self, loaded: LoadedConfig, now: Time) -> VersionComparison {
+        let comparison = self.observe(ConfigVersionId::of(&loaded), now);
+        if comparison == VersionComparison::Newer {
             self.current = Some(Arc::new(loaded));
             self.applied_at = now;
             self.confirmed_at = now;
             self.counts.applied += 1;
         }
-        verdict
+        comparison
     }
 
     /// Counts a version whose data were incomplete or invalid.
-    pub fn refuse_invalid(&mut self) {
+    pub fn count_invalid(&mut self) {
         self.counts.invalid += 1;
     }
 }
--- a/lib/src/config_chunks.rs
+++ b/lib/src/config_chunks.rs
@@ -23,16 +23,16 @@
 use crate::value_type;
 
 /// The version of the encoding of roots and chunks.
-pub const FORMAT: u16 = 1;
+pub const FORMAT_VERSION: u16 = 1;
 /// The largest number of buckets. The root then takes 37 kB, and a chunk holds at most a few objects.
 pub const MAX_BUCKETS: usize = 1_024;
 /// The target number of objects per bucket. 5,100 workspaces with a key each make 64 buckets: a change
 /// of one workspace writes 12 kB. The minimum of chunk and root together is 11 kB, with 128 buckets,
 /// but then a first load takes twice as many calls. docs/design/configuration.md has the measurement.
-pub const BUCKET_OBJECTS: usize = 160;
+pub const OBJECTS_PER_BUCKET: usize = 160;
 /// The number of commits that the root lists, so that a writer that lost the response to its commit
 /// can find out whether it succeeded. At 3,400 changes a day they span seven minutes.
-pub const HISTORY: usize = 16;
+pub const MAX_HISTORY: usize = 16;
 /// The largest number of retired chunks that the root lists. Bounds the size of the root after changes
 /// of many objects.
 pub const MAX_RETIRED: usize = 256;
@@ -51,7 +51,7 @@
     Malformed(&'static str),
     /// The format version of the encoding is not supported.
     #[error(
-        "the configuration has format version {0}, but this program supports only {FORMAT}; upgrade it"
+        "the configuration has format version {0}, but this program supports only {FORMAT_VERSION}; upgrade it"
     )]
     Format(u16),
     /// A chunk or root exceeds the size limit of the store.
@@ -129,7 +129,7 @@
 
 /// The encoded root and chunks of one version, as exchanged between peers.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Parts {
+pub struct EncodedConfig {
     /// The encoded root.
     pub root: Bytes,
     /// The encoded chunks by digest.
@@ -138,7 +138,7 @@
 
 /// A complete and validated version of the configuration.
 #[derive(Clone, Debug)]
-pub struct Loaded {
+pub struct LoadedConfig {
     /// The version number.
     pub version: Version,
     /// The digest of the root.
@@ -148,7 +148,7 @@
     /// The decoded root.
     pub root: Arc<Root>,
     /// The encoded root and chunks.
-    pub parts: Arc<Parts>,
+    pub parts: Arc<EncodedConfig>,
     /// The version of the root object in the store; `None` if this version came from a peer, or is no
     /// longer the newest. Required for a version to be the base of a commit.
     pub stored: Option<Version>,
@@ -199,7 +199,7 @@
         // The format version is the first field, so it can be read from an unknown encoding.
         let malformed = |_| ChunkError::Malformed("root");
         let (format, _) = postcard::take_from_bytes::<u16>(bytes).map_err(malformed)?;
-        if format != FORMAT {
+        if format != FORMAT_VERSION {
             return Err(ChunkError::Format(format));
         }
         let root: Root = postcard::from_bytes(bytes).map_err(malformed)?;
@@ -216,12 +216,12 @@
     }
 
     /// Returns the commit of `writer`, if it is in the history.
-    pub fn commit_of(&self, writer: WriterId) -> Option<&CommitRecord> {
+    pub fn commit_by(&self, writer: WriterId) -> Option<&CommitRecord> {
         self.history.iter().find(|r| r.writer == writer)
     }
 
     /// Returns the chunks that are not in `parts`, without duplicates.
-    pub fn lacking(&self, parts: &Parts) -> BTreeSet<ChunkRef> {
+    pub fn missing_chunks(&self, parts: &EncodedConfig) -> BTreeSet<ChunkRef> {
         let missing = |c: &&ChunkRef| !parts.chunks.contains_key(&c.digest);
         self.chunks.iter().filter(missing).cloned().collect()
     }
@@ -246,7 +246,7 @@
 fn bucket_count(config: &Config) -> usize {
     let customer_objects = config.services.len() + config.workspaces.len() + config.keys.len();
     let operator_objects = config.operators.len() + config.placements.len() + config.drains.len();
-    let wanted = (customer_objects + operator_objects).div_ceil(BUCKET_OBJECTS);
+    let wanted = (customer_objects + operator_objects).div_ceil(OBJECTS_PER_BUCKET);
     wanted.next_power_of_two()
 }
 
@@ -305,7 +305,7 @@
 
 /// Decodes a version from its root and chunks. Verifies the digest of each chunk and validates the
 /// configuration. Chunks that the root does not reference are ignored and dropped.
-pub fn assemble(parts: &Parts, stored: Option<Version>) -> Result<Loaded> {
+pub fn assemble(parts: &EncodedConfig, stored: Option<Version>) -> Result<LoadedConfig> {
     let root = Root::decode(&parts.root)?;
     let mut config = Config::default();
     let mut chunks = BTreeMap::new();
@@ -323,12 +323,12 @@
     if !faults.is_empty() {
         return Err(ChunkError::Invalid(faults));
     }
-    Ok(Loaded {
+    Ok(LoadedConfig {
         version: root.version,
         digest: root_digest(&parts.root),
         config: Arc::new(config),
         root: Arc::new(root),
-        parts: Arc::new(Parts {
+        parts: Arc::new(EncodedConfig {
             root: parts.root.clone(),
             chunks,
         }),
--- a/lib/src/config_plan.rs
+++ b/lib/src/config_plan.rs
@@ -9,10 +9,10 @@
 use crate::config_chunks::ChunkError;
 use crate::config_chunks::ChunkRef;
 use crate::config_chunks::CommitRecord;
-use crate::config_chunks::FORMAT;
-use crate::config_chunks::HISTORY;
+use crate::config_chunks::EncodedConfig;
+use crate::config_chunks::FORMAT_VERSION;
+use crate::config_chunks::MAX_HISTORY;
 use crate::config_chunks::MAX_RETIRED;
-use crate::config_chunks::Parts;
 use crate::config_chunks::Root;
 use crate::config_chunks::WriterId;
 use crate::config_chunks::split;
@@ -26,7 +26,7 @@
 
 /// The metadata of a commit.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Signature {
+pub struct CommitInfo {
     /// A random identifier by which the writer recognizes its own commit.
     pub writer: WriterId,
     /// The operator who makes the change.
@@ -47,14 +47,14 @@
     /// The chunks to write.
     pub chunks: Vec<PlannedChunk>,
     /// The encoded root and chunks of the new version.
-    pub parts: Parts,
+    pub parts: EncodedConfig,
 }
 
 /// A chunk to write.
 #[derive(Clone, Debug)]
 pub struct PlannedChunk {
     /// The reference to the chunk, which gives its key.
-    pub place: ChunkRef,
+    pub chunk_ref: ChunkRef,
     /// The encoded chunk.
     pub bytes: Bytes,
 }
@@ -66,30 +66,33 @@
         base: Option<&Root>,
         config: Config,
         change: &Change,
-        signature: Signature,
+        signature: CommitInfo,
     ) -> Result<Self, ChunkError> {
         let before = base.map_or(Version(0), |b| b.version);
         let version = Version(before.max(signature.floor).0 + 1);
         // The number of buckets never decreases, since changing it rewrites every chunk.
         let chunks = split(&config, base.map_or(1, |b| b.chunks.len()))?;
         let old: &[ChunkRef] = base.map_or(&[], |b| &b.chunks);
-        let places: Vec<ChunkRef> = chunks.iter().map(|c| reference(c, old, version)).collect();
-        let planned = chunks_to_write(&chunks, &places, version);
+        let chunk_refs: Vec<ChunkRef> = chunks
+            .iter()
+            .map(|c| reuse_or_create_ref(c, old, version))
+            .collect();
+        let planned = chunks_to_write(&chunks, &chunk_refs, version);
         let record = CommitRecord {
             version,
             writer: signature.writer,
             author: signature.author,
             at: signature.at,
             summary: summary(change),
-            retired: retired_chunks(old, &places),
+            retired: retired_chunks(old, &chunk_refs),
         };
         let root = Root {
-            format: FORMAT,
+            format: FORMAT_VERSION,
             version,
-            chunks: places,
+            chunks: chunk_refs,
             history: append_history(base, record),
         };
-        let parts = Parts {
+        let parts = EncodedConfig {
             root: root.encode()?,
             chunks: chunks.into_iter().map(|c| (c.digest, c.bytes)).collect(),
         };
@@ -113,14 +116,18 @@
     }
 }
 
-fn chunks_to_write(chunks: &[Chunk], places: &[ChunkRef], version: Version) -> Vec<PlannedChunk> {
+fn chunks_to_write(
+    chunks: &[Chunk],
+    chunk_refs: &[ChunkRef],
+    version: Version,
+) -> Vec<PlannedChunk> {
     let mut seen = BTreeSet::new();
     let mut planned = Vec::new();
-    for (chunk, place) in chunks.iter().zip(places) {
-        if place.since == version && seen.insert(place.digest) {
+    for (chunk, chunk_ref) in chunks.iter().zip(chunk_refs) {
+        if chunk_ref.since == version && seen.insert(chunk_ref.digest) {
             let bytes = chunk.bytes.clone();
-            let place = place.clone();
-            planned.push(PlannedChunk { place, bytes });
+            let chunk_ref = chunk_ref.clone();
+            planned.push(PlannedChunk { chunk_ref, bytes });
         }
     }
     planned
@@ -133,7 +140,7 @@
 }
 
 // Limits the size of the root. The summary is informational.
-const SUMMARY_BYTES: usize = 60;
+const MAX_SUMMARY_BYTES: usize = 60;
 
 fn summary(change: &Change) -> String {
     let mut text = match change.edits.as_slice() {
@@ -141,7 +148,7 @@
         [edit] => edit.to_string(),
         [edit, rest @ ..] => format!("{edit} and {} more", rest.len()),
     };
-    let end = (0..=SUMMARY_BYTES)
+    let end = (0..=MAX_SUMMARY_BYTES)
         .rev()
         .find(|i| text.is_char_boundary(*i));
     text.truncate(end.unwrap_or(0));
@@ -150,7 +157,7 @@
 
 // Reuses a chunk of the base. Any other chunk gets a key of the new version, even if the store has one
 // with the same digest: garbage collection may be about to delete that one.
-fn reference(chunk: &Chunk, old: &[ChunkRef], version: Version) -> ChunkRef {
+fn reuse_or_create_ref(chunk: &Chunk, old: &[ChunkRef], version: Version) -> ChunkRef {
     let kept = old.iter().find(|c| c.digest == chunk.digest);
     kept.cloned().unwrap_or(ChunkRef {
         since: version,
@@ -160,7 +167,7 @@
 
 fn append_history(base: Option<&Root>, record: CommitRecord) -> Vec<CommitRecord> {
     let old: &[CommitRecord] = base.map_or(&[], |b| &b.history);
-    let start = (old.len() + 1).saturating_sub(HISTORY);
+    let start = (old.len() + 1).saturating_sub(MAX_HISTORY);
     let mut history = old[start..].to_vec();
     history.push(record);
     let mut total = 0;
--- a/lib/src/config_pull.rs
+++ b/lib/src/config_pull.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-use crate::config_apply::ConfigMark;
+use crate::config_apply::ConfigVersionId;
 use crate::ids::Name;
 use crate::membership::ConfigSeen;
 use crate::roster::Member;
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PullContext<'a> {
     /// The version that this process has applied.
-    pub own: Option<&'a ConfigMark>,
+    pub own: Option<&'a ConfigVersionId>,
     /// The newest version known from gossip.
     pub seen: Option<&'a ConfigSeen>,
     /// Whether this process watches the store. A watcher needs no read of its own except at startup.
@@ -75,7 +75,7 @@
     failures: u32,
     // Peers already tried for the version in `target`.
     tried: Vec<Name>,
-    target: Option<ConfigMark>,
+    target: Option<ConfigVersionId>,
     in_progress: bool,
     jitter: f64,
 }
--- a/lib/src/config_store.rs
+++ b/lib/src/config_store.rs
@@ -22,18 +22,18 @@
 use crate::config_chunks::ChunkRef;
 use crate::config_chunks::CommitRecord;
 use crate::config_chunks::ConfigDigest;
-use crate::config_chunks::HISTORY;
-use crate::config_chunks::Loaded;
-use crate::config_chunks::Parts;
+use crate::config_chunks::EncodedConfig;
+use crate::config_chunks::LoadedConfig;
+use crate::config_chunks::MAX_HISTORY;
 use crate::config_chunks::ROOT_KEY;
 use crate::config_chunks::Root;
 use crate::config_chunks::WriterId;
 use crate::config_chunks::assemble;
 use crate::config_chunks::root_digest;
 use crate::config_edit::Change;
+use crate::config_plan::CommitInfo;
 use crate::config_plan::Plan;
 use crate::config_plan::PlannedChunk;
-use crate::config_plan::Signature;
 use crate::config_plan::needed_chunks;
 use crate::ids::Name;
 use crate::ids::Version;
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug)]
 pub struct Committed {
     /// The committed version. It can be the base of another commit unless a newer one exists.
-    pub loaded: Loaded,
+    pub loaded: LoadedConfig,
     /// The identifier of the writer in the history of the root.
     pub writer: WriterId,
     /// The number of chunks written.
@@ -178,23 +178,23 @@
     }
 
     /// Reads a chunk and verifies its digest.
-    pub async fn chunk(&self, place: &ChunkRef) -> Result<Bytes> {
-        let object = self.platform.read(&place.key()).await?;
-        let bytes = object.ok_or(ChunkError::Missing(place.digest))?.value;
+    pub async fn chunk(&self, chunk_ref: &ChunkRef) -> Result<Bytes> {
+        let object = self.platform.read(&chunk_ref.key()).await?;
+        let bytes = object.ok_or(ChunkError::Missing(chunk_ref.digest))?.value;
         let chunk = Chunk::new(bytes);
-        if chunk.digest != place.digest {
-            return Err(ChunkError::Digest(place.digest).into());
+        if chunk.digest != chunk_ref.digest {
+            return Err(ChunkError::Digest(chunk_ref.digest).into());
         }
         Ok(chunk.bytes)
     }
 
     /// Loads the configuration; `None` before the first commit.
-    pub async fn load(&self) -> Result<Option<Loaded>> {
-        self.load_after(&Parts::default()).await
+    pub async fn load(&self) -> Result<Option<LoadedConfig>> {
+        self.load_after(&EncodedConfig::default()).await
     }
 
     /// Loads the configuration, reading only the chunks that are not in `held`.
-    pub async fn load_after(&self, held: &Parts) -> Result<Option<Loaded>> {
+    pub async fn load_after(&self, held: &EncodedConfig) -> Result<Option<LoadedConfig>> {
         self.load_into(&mut held.clone()).await
     }
 
@@ -203,13 +203,13 @@
     /// On error, `held` keeps the chunks that were read, so that a retry makes progress. Otherwise, if
     /// the store rejects some reads because every process starts at once, each load would begin again
     /// with the first chunk and none would complete.
-    pub async fn load_into(&self, held: &mut Parts) -> Result<Option<Loaded>> {
+    pub async fn load_into(&self, held: &mut EncodedConfig) -> Result<Option<LoadedConfig>> {
         let mut last = None;
         for _ in 0..MAX_LOAD_ATTEMPTS {
             let Some(found) = self.root().await? else {
                 return Ok(None);
             };
-            match self.complete(&found, held).await {
+            match self.load_missing(&found, held).await {
                 // The chunk may have been garbage collected after the root was read. In that case a
                 // newer root does not reference it; if the root is unchanged, the chunk is lost.
                 Err(ConfigError::Chunk(ChunkError::Missing(digest))) => {
@@ -223,21 +223,29 @@
         Err(PlatformError::Refused("the root changes faster than it can be read".into()).into())
     }
 
-    /// Reads what a root names, but for the chunks that `held` has: one call less than
-    /// [`ConfigStore::load_after`] for whoever has a root from a watch.
-    pub async fn load_found(&self, found: &StoredRoot, held: &Parts) -> Result<Option<Loaded>> {
-        match self.complete(found, &mut held.clone()).await {
+    /// Loads the version of a root, reading only the chunks that are not in `held`. With a root from a
+    /// watch this takes one call less than [`ConfigStore::load_after`].
+    pub async fn load_from_root(
+        &self,
+        found: &StoredRoot,
+        held: &EncodedConfig,
+    ) -> Result<Option<LoadedConfig>> {
+        match self.load_missing(found, &mut held.clone()).await {
             Err(ConfigError::Chunk(ChunkError::Missing(_))) => self.load_after(held).await,
             result => result.map(Some),
         }
     }
 
-    async fn complete(&self, found: &StoredRoot, held: &mut Parts) -> Result<Loaded> {
+    async fn load_missing(
+        &self,
+        found: &StoredRoot,
+        held: &mut EncodedConfig,
+    ) -> Result<LoadedConfig> {
         held.root = found.bytes.clone();
-        let lacking = found.root.lacking(held);
-        let reads = lacking.into_iter().map(|place| async move {
-            let bytes = self.chunk(&place).await?;
-            Ok::<_, ConfigError>((place.digest, bytes))
+        let missing_chunks = found.root.missing_chunks(held);
+        let reads = missing_chunks.into_iter().map(|chunk_ref| async move {
+            let bytes = self.chunk(&chunk_ref).await?;
+            Ok::<_, ConfigError>((chunk_ref.digest, bytes))
         });
         let read: Vec<_> = stream::iter(reads)
             .buffer_unordered(MAX_CONCURRENT_CALLS)
@@ -261,7 +269,7 @@
     /// Plans the commit of a change without writing anything. `base` is `None` for the first commit.
     pub fn plan(
         &self,
-        base: Option<&Loaded>,
+        base: Option<&LoadedConfig>,
         change: &Change,
         author: &Name,
     ) -> std::result::Result<Plan, CommitError> {
@@ -283,7 +291,7 @@
     /// is unknown; every other error guarantees that the change has not taken effect and will not.
     pub async fn commit(
         &self,
-        base: Option<&Loaded>,
+        base: Option<&LoadedConfig>,
         change: &Change,
         author: &Name,
     ) -> std::result::Result<Committed, CommitError> {
@@ -296,9 +304,9 @@
         Ok(committed(plan, stored))
     }
 
-    fn signature(&self, author: &Name) -> Signature {
+    fn signature(&self, author: &Name) -> CommitInfo {
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        Signature {
+        CommitInfo {
             writer: WriterId(fastrand::u128(..)),
             author: author.clone(),
             at: now.map_or(0, |d| d.as_secs()),
@@ -316,7 +324,7 @@
     // The key contains the digest, so an existing chunk has the right content, and a write whose
     // response was lost can be retried.
     async fn write_chunk(&self, chunk: &PlannedChunk) -> std::result::Result<(), PlatformError> {
-        let key = chunk.place.key();
+        let key = chunk.chunk_ref.key();
         let mut retries = Retries::new(self);
         loop {
             let bytes = chunk.bytes.clone();
@@ -337,7 +345,7 @@
     // once.
     async fn replace_root(
         &self,
-        base: Option<&Loaded>,
+        base: Option<&LoadedConfig>,
         plan: &Plan,
         condition: Condition,
     ) -> std::result::Result<Option<Version>, CommitError> {
@@ -367,12 +375,12 @@
     // Reads the root to find out whether the plan was committed; `None` if it does not show that yet.
     async fn find_outcome(
         &self,
-        base: Option<&Loaded>,
+        base: Option<&LoadedConfig>,
         plan: &Plan,
         condition: Condition,
     ) -> Option<std::result::Result<Option<Version>, CommitError>> {
         let found = self.root().await.ok()??;
-        if found.root.commit_of(plan.writer()).is_some() {
+        if found.root.commit_by(plan.writer()).is_some() {
             // If another commit has followed, its store version must not be returned for ours: a commit
             // based on ours would then overwrite it.
             let newest = found.root.last().writer == plan.writer();
@@ -384,8 +392,8 @@
         // Older commits are dropped from the history, possibly ours too, unless it still contains the
         // commit of the base.
         let history_complete = match base {
-            Some(base) => found.root.commit_of(base.root.last().writer).is_some(),
-            None => found.root.history.len() < HISTORY,
+            Some(base) => found.root.commit_by(base.root.last().writer).is_some(),
+            None => found.root.history.len() < MAX_HISTORY,
         };
         let won = Box::new(found.root.last().clone());
         history_complete.then_some(Err(CommitError::LostRace { won }))
@@ -442,7 +450,7 @@
     }
 }
 
-fn condition(base: Option<&Loaded>) -> std::result::Result<Condition, CommitError> {
+fn condition(base: Option<&LoadedConfig>) -> std::result::Result<Condition, CommitError> {
     match base.map(|b| b.stored) {
         None => Ok(Condition::Absent),
         Some(Some(stored)) => Ok(Condition::At(stored)),
@@ -466,7 +474,7 @@
         writer: plan.writer(),
         chunks: plan.chunks.len(),
         bytes: plan.bytes(),
-        loaded: Loaded {
+        loaded: LoadedConfig {
             version: plan.root.version,
             digest: root_digest(&plan.parts.root),
             config: Arc::new(plan.config),
--- a/lib/src/gossip.rs
+++ b/lib/src/gossip.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use thiserror::Error;
 
-use crate::config_apply::ConfigMark;
+use crate::config_apply::ConfigVersionId;
 use crate::copy_type;
 use crate::ids::Name;
 use crate::value_type;
@@ -111,7 +111,7 @@
         /// Whether it started lately and wants to know of all who are not ready.
         pub fresh: bool,
         /// The version of the configuration that it has in force and can hand on.
-        pub config: Option<ConfigMark>,
+        pub config: Option<ConfigVersionId>,
         /// What the datagram is for.
         pub purpose: Purpose,
         /// Words on others; at most [`MAX_WORDS`].
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use crate::broadcast_queue::BroadcastQueue;
-use crate::config_apply::ConfigMark;
-use crate::config_seen::ConfigNews;
+use crate::config_apply::ConfigVersionId;
+use crate::config_seen::NewestConfig;
 use crate::gossip::Life;
 use crate::gossip::MemberId;
 use crate::gossip::Message;
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ConfigSeen {
     /// The version.
-    pub mark: ConfigMark,
+    pub mark: ConfigVersionId,
     /// Some processes that have it in force, in the order in which they were heard.
     pub holders: Vec<Member>,
 }
@@ -113,8 +113,8 @@
     heard: Time,
     turns: Turns,
     recheck: Vec<MemberId>,
-    config: Option<ConfigMark>,
-    news: ConfigNews,
+    config: Option<ConfigVersionId>,
+    news: NewestConfig,
     counts: MembershipCounts,
 }
 
@@ -138,7 +138,7 @@
             turns: Turns::default(),
             recheck: Vec::new(),
             config: None,
-            news: ConfigNews::default(),
+            news: NewestConfig::default(),
             counts: MembershipCounts::default(),
         }
     }
@@ -159,9 +159,9 @@
     }
 
     /// Says which version of the configuration this process has in force and hands on.
-    pub fn set_config(&mut self, now: Time, mark: ConfigMark) {
+    pub fn set_config(&mut self, now: Time, mark: ConfigVersionId) {
         if self.config.as_ref() != Some(&mark) {
-            self.news.note(None, &mark);
+            self.news.record(None, &mark);
             self.config = Some(mark);
             self.broadcast_queue.queue_own_update(now);
         }
@@ -185,7 +185,7 @@
             .iter()
             .filter_map(|id| self.roster.get(*id));
         Some(ConfigSeen {
-            mark: self.news.best.clone()?,
+            mark: self.news.newest.clone()?,
             holders: members.filter_map(|entry| entry.member.clone()).collect(),
         })
     }
@@ -260,7 +260,7 @@
             self.broadcast_queue.push(now, word);
         }
         if let Some(mark) = &message.config {
-            self.news.note(Some(message.id), mark);
+            self.news.record(Some(message.id), mark);
         }
         for word in &message.words {
             self.hear(now, *word, rng);
--- a/lib/src/revision.rs
+++ b/lib/src/revision.rs
@@ -11,7 +11,7 @@
 
 /// How long after the directory has reverted entries may be missing, or deleted ones present again, until their writers
 /// have written them again.
-pub const RETURN: Duration = Duration::from_millis(2_300);
+pub const ERA_SETTLE_TIME: Duration = Duration::from_millis(2_300);
 
 copy_type! {
     /// The revision of the directory at which a listing or change was read. Later revisions compare greater.
@@ -56,18 +56,18 @@
 
 /// Tracks the latest era of the directory, and when it was first seen.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SeenEra {
+pub struct EraTracker {
     seen: Option<(u64, Time)>,
 }
 
-impl SeenEra {
+impl EraTracker {
     /// Returns the latest era; zero if none is known.
     pub fn era(&self) -> u64 {
         self.seen.map_or(0, |(era, _)| era)
     }
 
     /// Records the revision of something that was read. Returns whether it shows that the directory has reverted.
-    pub fn saw(&mut self, now: Time, revision: Revision) -> bool {
+    pub fn observe(&mut self, now: Time, revision: Revision) -> bool {
         match self.seen {
             Some((era, _)) if revision.era <= era => false,
             previous => {
@@ -81,6 +81,6 @@
     /// process that has just started does not know when it reverted, and counts from the first revision it sees.
     pub fn is_settled(&self, now: Time) -> bool {
         let since = self.seen.filter(|(era, _)| *era > 0);
-        since.is_none_or(|(_, since)| now.since(since) >= RETURN)
+        since.is_none_or(|(_, since)| now.since(since) >= ERA_SETTLE_TIME)
     }
 }
--- a/lib/src/wire.rs
+++ b/lib/src/wire.rs
@@ -7,7 +7,7 @@
 
 use crate::backend::CallSpec;
 use crate::backend::Header;
-use crate::config_apply::ConfigMark;
+use crate::config_apply::ConfigVersionId;
 use crate::config_chunks::ChunkDigest;
 use crate::ids::Attempt;
 use crate::ids::GenerationId;
@@ -148,7 +148,7 @@
         /// A version of the configuration.
         Config {
             /// Which one.
-            mark: ConfigMark,
+            mark: ConfigVersionId,
             /// The chunks that the asker has.
             held: Vec<ChunkDigest>,
         },
--- a/lib/tests/config_chunks.rs
+++ b/lib/tests/config_chunks.rs
@@ -8,8 +8,8 @@
 use cicada_lib::config::WorkspaceConfig;
 use cicada_lib::config_chunks::ChunkError;
 use cicada_lib::config_chunks::ChunkRef;
-use cicada_lib::config_chunks::Loaded;
-use cicada_lib::config_chunks::Parts;
+use cicada_lib::config_chunks::EncodedConfig;
+use cicada_lib::config_chunks::LoadedConfig;
 use cicada_lib::config_chunks::Root;
 use cicada_lib::config_chunks::assemble;
 use cicada_lib::config_edit::Action;
@@ -41,7 +41,7 @@
     Change::new(edits)
 }
 
-async fn commit_initial(platform: &Arc<MemoryPlatform>) -> Loaded {
+async fn commit_initial(platform: &Arc<MemoryPlatform>) -> LoadedConfig {
     let store = ConfigStore::new(platform.clone());
     let made = store
         .commit(None, &initial_change(), &Name::new("ann"))
@@ -49,7 +49,7 @@
     made.unwrap().loaded
 }
 
-fn loaded() -> Loaded {
+fn loaded() -> LoadedConfig {
     let runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = { runtime }.build().unwrap();
     runtime.block_on(commit_initial(&Arc::new(MemoryPlatform::new())))
@@ -62,7 +62,7 @@
     let whole = loaded();
     let keys: Vec<_> = whole.parts.chunks.keys().copied().collect();
     let damaged = move |part: usize, at: usize, mask: u8, cut: bool| {
-        let mut parts = Parts::clone(&whole.parts);
+        let mut parts = EncodedConfig::clone(&whole.parts);
         let key = keys[part % keys.len()];
         let in_root = part.is_multiple_of(3);
         let bytes = match in_root {
@@ -94,9 +94,9 @@
     fn is_rejected(bytes: Vec<u8>) -> bool {
         // Without a valid format version as the first byte, few inputs would pass the first check.
         let with_format: Vec<u8> = [1].into_iter().chain(bytes.iter().copied()).collect();
-        let parts = Parts {
+        let parts = EncodedConfig {
             root: Bytes::from(with_format),
-            ..Parts::default()
+            ..EncodedConfig::default()
         };
         Root::decode(&bytes).is_err() | assemble(&parts, None).is_err()
     }
@@ -112,13 +112,16 @@
     let platform = Arc::new(MemoryPlatform::new());
     let whole = commit_initial(&platform).await;
     let store = ConfigStore::new(platform.clone());
-    let place = whole.root.chunks[0].clone();
+    let chunk_ref = whole.root.chunks[0].clone();
     let mut objects = platform.objects();
-    objects.get_mut(&place.key()).unwrap().value = Bytes::from_static(b"other");
+    objects.get_mut(&chunk_ref.key()).unwrap().value = Bytes::from_static(b"other");
     platform.restore(objects);
     let error = store.load().await.unwrap_err();
-    assert_eq!(error, ConfigError::Chunk(ChunkError::Digest(place.digest)));
-    assert_eq!(store.chunk(&place).await.unwrap_err(), error);
+    assert_eq!(
+        error,
+        ConfigError::Chunk(ChunkError::Digest(chunk_ref.digest))
+    );
+    assert_eq!(store.chunk(&chunk_ref).await.unwrap_err(), error);
     assert!(store.load_after(&whole.parts).await.is_ok());
 }
 
@@ -139,13 +142,13 @@
 async fn garbage_of_several_list_pages_is_collected() {
     let platform = Arc::new(MemoryPlatform::new());
     let whole = commit_initial(&platform).await;
-    let place = |i: u64, since: u64| {
+    let chunk_ref = |i: u64, since: u64| {
         let digest = format!("config/chunk/{since:016x}-{i:064x}");
         ChunkRef::from_key(&digest).unwrap()
     };
     for i in 0..1_200 {
         for since in [1, 2] {
-            let key = place(i, since).key();
+            let key = chunk_ref(i, since).key();
             let value = Bytes::from_static(b"garbage");
             platform
                 .write(&key, value, Condition::Absent)
--- a/lib/tests/config_model.rs
+++ b/lib/tests/config_model.rs
@@ -14,12 +14,12 @@
 use cicada_lib::config::OperatorConfig;
 use cicada_lib::config::Rights;
 use cicada_lib::config::WorkspaceConfig;
-use cicada_lib::config_apply::ConfigMark;
 use cicada_lib::config_apply::ConfigState;
-use cicada_lib::config_apply::Verdict;
+use cicada_lib::config_apply::ConfigVersionId;
+use cicada_lib::config_apply::VersionComparison;
 use cicada_lib::config_chunks::ChunkRef;
-use cicada_lib::config_chunks::Loaded;
-use cicada_lib::config_chunks::Parts;
+use cicada_lib::config_chunks::EncodedConfig;
+use cicada_lib::config_chunks::LoadedConfig;
 use cicada_lib::config_chunks::ROOT_KEY;
 use cicada_lib::config_chunks::Root;
 use cicada_lib::config_chunks::assemble;
@@ -89,7 +89,7 @@
     Change::new(vec![set("w0"), set("w2")])
 }
 
-fn mark_of(loaded: &Loaded) -> u32 {
+fn mark_of(loaded: &LoadedConfig) -> u32 {
     let shares = ["w0", "w2"].map(|name| loaded.config.workspaces[name].share);
     assert_eq!(shares[0], shares[1], "a change was applied partially");
     shares[0]
@@ -105,7 +105,7 @@
 
 // Bases each commit on its own last one if that may still be the newest, else loads the configuration.
 async fn writer(store: ConfigStore, attempts: Attempts) {
-    let mut held: Option<Loaded> = None;
+    let mut held: Option<LoadedConfig> = None;
     for _ in 0..6 {
         if held.as_ref().is_none_or(|l| l.stored.is_none()) {
             held = store.load().await.ok().flatten();
@@ -134,10 +134,10 @@
         if let Ok(Some(loaded)) = store.load().await {
             mark_of(&loaded);
             let mut state = state.lock().unwrap();
-            let before = state.mark().map(|m| m.version);
-            state.offer(loaded, Time::ZERO);
+            let before = state.version_id().map(|m| m.version);
+            state.apply_if_newer(loaded, Time::ZERO);
             assert!(
-                state.mark().map(|m| m.version) >= before,
+                state.version_id().map(|m| m.version) >= before,
                 "the version decreased"
             );
         }
@@ -208,7 +208,7 @@
 // Returns the mark of a version, assembled from its chunks as first written.
 fn replay(platform: &MemoryPlatform, root: &Root) -> u32 {
     let chunk = |c: &ChunkRef| (c.digest, platform.values(&c.key())[0].clone());
-    let parts = Parts {
+    let parts = EncodedConfig {
         root: root.encode().unwrap(),
         chunks: root.chunks.iter().map(chunk).collect(),
     };
@@ -247,11 +247,14 @@
     let reading = store.clone();
     let last = finish(async move { reading.load().await.unwrap().unwrap() });
     assert_eq!(last.version.0, roots.len() as u64);
-    let mark = ConfigMark {
+    let mark = ConfigVersionId {
         version: last.version,
         digest: last.digest,
     };
-    assert_ne!(state.lock().unwrap().judge(mark), Verdict::Conflicting);
+    assert_ne!(
+        state.lock().unwrap().compare(mark),
+        VersionComparison::Conflicting
+    );
     true
 }
 
@@ -321,25 +324,34 @@
             .unwrap();
         let mut state = ConfigState::new();
         assert_eq!(
-            state.offer(second.loaded.clone(), Time::ZERO),
-            Verdict::Newer
+            state.apply_if_newer(second.loaded.clone(), Time::ZERO),
+            VersionComparison::Newer
+        );
+        assert_eq!(
+            state.apply_if_newer(second.loaded, Time::ZERO),
+            VersionComparison::Same
         );
-        assert_eq!(state.offer(second.loaded, Time::ZERO), Verdict::Same);
 
         platform.restore(backup);
         let old = store.load().await.unwrap().unwrap();
-        assert_eq!(state.offer(old.clone(), Time::ZERO), Verdict::Older);
+        assert_eq!(
+            state.apply_if_newer(old.clone(), Time::ZERO),
+            VersionComparison::Older
+        );
         let other = store.commit(Some(&old), &change(6), &author).await.unwrap();
-        let verdict = state.offer(other.loaded.clone(), Time::ZERO);
-        assert_eq!(verdict, Verdict::Conflicting);
+        let comparison = state.apply_if_newer(other.loaded.clone(), Time::ZERO);
+        assert_eq!(comparison, VersionComparison::Conflicting);
         assert_eq!(mark_of(state.current().unwrap()), 5);
 
         let third = store
             .commit(Some(&other.loaded), &change(7), &author)
             .await
             .unwrap();
-        assert_eq!(state.offer(third.loaded, Time::ZERO), Verdict::Newer);
-        assert_eq!(state.mark().map(|m| m.version), Some(Version(3)));
+        assert_eq!(
+            state.apply_if_newer(third.loaded, Time::ZERO),
+            VersionComparison::Newer
+        );
+        assert_eq!(state.version_id().map(|m| m.version), Some(Version(3)));
         let counts = state.counts();
         assert_eq!(
             (counts.applied, counts.older, counts.conflicting),
--- a/lib/tests/config_pull.rs
+++ b/lib/tests/config_pull.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cicada_lib::config_apply::ConfigMark;
+use cicada_lib::config_apply::ConfigVersionId;
 use cicada_lib::config_chunks::root_digest;
 use cicada_lib::config_pull::ConfigPuller;
 use cicada_lib::config_pull::PullContext;
@@ -31,8 +31,8 @@
     }
 }
 
-fn mark(version: u64) -> ConfigMark {
-    ConfigMark {
+fn mark(version: u64) -> ConfigVersionId {
+    ConfigVersionId {
         version: Version(version),
         digest: root_digest(&version.to_le_bytes()),
     }
--- a/lib/tests/config_store.rs
+++ b/lib/tests/config_store.rs
@@ -10,8 +10,8 @@
 use cicada_lib::config::Rights;
 use cicada_lib::config::ServiceConfig;
 use cicada_lib::config::WorkspaceConfig;
-use cicada_lib::config_chunks::Loaded;
-use cicada_lib::config_chunks::Parts;
+use cicada_lib::config_chunks::EncodedConfig;
+use cicada_lib::config_chunks::LoadedConfig;
 use cicada_lib::config_edit::Action;
 use cicada_lib::config_edit::Change;
 use cicada_lib::config_edit::Edit;
@@ -63,7 +63,7 @@
     )])
 }
 
-async fn loaded(store: &ConfigStore) -> Loaded {
+async fn loaded(store: &ConfigStore) -> LoadedConfig {
     store.load().await.unwrap().unwrap()
 }
 
@@ -232,7 +232,7 @@
         refused: 50,
         ..Faults::default()
     });
-    let mut parts = Parts::default();
+    let mut parts = EncodedConfig::default();
     for _ in 0..50 {
         if let Ok(Some(loaded)) = store.load_into(&mut parts).await {
             assert_eq!(loaded.config.workspaces.len(), 2_000);
--- a/lib/tests/membership.rs
+++ b/lib/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cicada_lib::config_apply::ConfigMark;
+use cicada_lib::config_apply::ConfigVersionId;
 use cicada_lib::config_chunks::root_digest;
 use cicada_lib::gossip::GossipError;
 use cicada_lib::gossip::Message;
@@ -20,8 +20,8 @@
     Duration::from_secs(seconds)
 }
 
-fn mark(version: u64) -> ConfigMark {
-    ConfigMark {
+fn mark(version: u64) -> ConfigVersionId {
+    ConfigVersionId {
         version: Version(version),
         digest: root_digest(&version.to_le_bytes()),
     }
--- a/lib/tests/revision.rs
+++ b/lib/tests/revision.rs
@@ -1,9 +1,9 @@
 //! Tests of revisions of a directory that reverts to older copies.
 
 use cicada_lib::ids::Name;
-use cicada_lib::revision::RETURN;
+use cicada_lib::revision::ERA_SETTLE_TIME;
+use cicada_lib::revision::EraTracker;
 use cicada_lib::revision::Revision;
-use cicada_lib::revision::SeenEra;
 use cicada_lib::time::Time;
 use cicada_lib::zone_evacuation::EvacuatedZones;
 
@@ -31,20 +31,20 @@
 /// Guards against taking a list for complete while entries that the directory lost are still being written again.
 #[test]
 fn era_settles_after_entries_can_have_been_rewritten() {
-    let mut seen = SeenEra::default();
-    assert!(!seen.saw(at(10), Revision::new(0, 7)));
+    let mut seen = EraTracker::default();
+    assert!(!seen.observe(at(10), Revision::new(0, 7)));
     assert!(seen.is_settled(at(10)), "it has never reverted");
-    assert!(seen.saw(at(1_000), Revision::new(1, 5)));
-    assert!(!seen.saw(at(1_100), Revision::new(1, 9)));
+    assert!(seen.observe(at(1_000), Revision::new(1, 5)));
+    assert!(!seen.observe(at(1_100), Revision::new(1, 9)));
     assert!(
-        !seen.saw(at(1_200), Revision::new(0, 9)),
+        !seen.observe(at(1_200), Revision::new(0, 9)),
         "a response from the earlier era"
     );
     assert_eq!(seen.era(), 1);
     assert!(!seen.is_settled(at(1_200)));
-    assert!(seen.is_settled(at(1_000) + RETURN));
-    let mut started = SeenEra::default();
-    assert!(!started.saw(at(0), Revision::new(3, 5)));
+    assert!(seen.is_settled(at(1_000) + ERA_SETTLE_TIME));
+    let mut started = EraTracker::default();
+    assert!(!started.observe(at(0), Revision::new(3, 5)));
     assert!(!started.is_settled(at(1)), "it may have just reverted");
 }
 
--- a/lib/testutils/src/bin/cicada-measure/rig.rs
+++ b/lib/testutils/src/bin/cicada-measure/rig.rs
@@ -11,7 +11,7 @@
 use cicada_lib::config::Rights;
 use cicada_lib::config::ServiceConfig;
 use cicada_lib::config::WorkspaceConfig;
-use cicada_lib::config_chunks::Loaded;
+use cicada_lib::config_chunks::LoadedConfig;
 use cicada_lib::config_edit::Action;
 use cicada_lib::config_edit::Change;
 use cicada_lib::config_edit::Edit;
@@ -96,7 +96,7 @@
     /// Whether a relay on each way to an agent counts bytes.
     pub(crate) count_links: bool,
     datagrams: Vec<UdpProxy>,
-    held: Option<Loaded>,
+    held: Option<LoadedConfig>,
     dir: PathBuf,
     engines: Vec<Process>,
 }
--- a/lib/testutils/src/lossy_net.rs
+++ b/lib/testutils/src/lossy_net.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use cicada_lib::config_apply::ConfigMark;
+use cicada_lib::config_apply::ConfigVersionId;
 use cicada_lib::gossip::Message;
 use cicada_lib::gossip::OVERHEAD;
 use cicada_lib::ids::Name;
@@ -35,7 +35,7 @@
     /// Whether it adopts a version of the configuration some time after it heard of it.
     pub follows: bool,
     /// When it has the version in force that is wanted.
-    pub adopted: Option<ConfigMark>,
+    pub adopted: Option<ConfigVersionId>,
     /// Bytes sent, with the headers of IP and UDP.
     pub sent: u64,
     /// Datagrams sent.
@@ -53,7 +53,7 @@
         from: usize,
         bytes: Vec<u8>,
     },
-    Adopt(usize, ConfigMark),
+    Adopt(usize, ConfigVersionId),
 }
 
 struct Due {
--- a/relay/src/directory_watcher.rs
+++ b/relay/src/directory_watcher.rs
@@ -7,7 +7,7 @@
 
 use cicada_lib::peer_words::PeerAnswer;
 use cicada_lib::peer_words::PeerQuestion;
-use cicada_lib::revision::RETURN;
+use cicada_lib::revision::ERA_SETTLE_TIME;
 use cicada_lib::revision::Revision;
 use cicada_lib::site::Directory;
 use cicada_lib::site::DirectoryError;
@@ -285,7 +285,7 @@
             self.relay.set_servers(&listing);
         } else {
             self.relay.merge_servers(&listing);
-            view.relist_at = Some(Instant::now() + RETURN);
+            view.relist_at = Some(Instant::now() + ERA_SETTLE_TIME);
         }
         view.revision = Some(listing.revision);
         Ok(())
--- a/relay/src/evacuation_watcher.rs
+++ b/relay/src/evacuation_watcher.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cicada_lib::revision::RETURN;
+use cicada_lib::revision::ERA_SETTLE_TIME;
 use cicada_lib::zone_evacuation::EvacuatedZones;
 use tokio::time::Instant;
 
@@ -74,7 +74,7 @@
             Some(before) => before.revision.whole,
         };
         if view.known.is_none() && !whole {
-            view.relist_at = Some(Instant::now() + RETURN);
+            view.relist_at = Some(Instant::now() + ERA_SETTLE_TIME);
         }
         let evacuated = EvacuatedZones {
             revision: evacuated.revision.with_whole(whole),
--- a/relay/src/relay.rs
+++ b/relay/src/relay.rs
@@ -23,8 +23,8 @@
 use cicada_lib::recent_rejections::RecentRejections;
 use cicada_lib::residency::AllowedRegions;
 use cicada_lib::retry_window::RetryWindow;
+use cicada_lib::revision::EraTracker;
 use cicada_lib::revision::Revision;
-use cicada_lib::revision::SeenEra;
 use cicada_lib::route_table::RouteTable;
 use cicada_lib::stream_admission::RetryPacer;
 use cicada_lib::time::Clock;
@@ -117,7 +117,7 @@
     pub(crate) receivers: Mutex<Option<QueueReceivers>>,
     pub(crate) revision: Mutex<Revision>,
     // Changes when the directory was restored from an older copy of itself.
-    pub(crate) era: watch::Sender<SeenEra>,
+    pub(crate) era: watch::Sender<EraTracker>,
     // Recent changes of the list of servers, for relays that missed some.
     pub(crate) change_log: Mutex<ChangeLog>,
     // Set when idle connections are to be closed.
@@ -174,7 +174,7 @@
             moved_runs: MovedRuns::new(),
             peers: Mutex::default(),
             revision: Mutex::default(),
-            era: watch::Sender::new(SeenEra::default()),
+            era: watch::Sender::new(EraTracker::default()),
             change_log: Mutex::default(),
             close_idle: watch::Sender::new(false),
             stop_accepting: watch::Sender::new(false),
--- a/relay/src/relay_view.rs
+++ b/relay/src/relay_view.rs
@@ -10,15 +10,14 @@
 
 use cicada_lib::ids::Name;
 use cicada_lib::peer_words::ServerNews;
+use cicada_lib::revision::EraTracker;
 use cicada_lib::revision::Revision;
-use cicada_lib::revision::SeenEra;
 use cicada_lib::route_table::RouteTable;
 use cicada_lib::site::PeerRecord;
 use cicada_lib::site::ServerChanges;
 use cicada_lib::site::ServerListing;
 use cicada_lib::site::SiteConfig;
 use cicada_lib::zone_evacuation::EvacuatedZones;
-
 use tokio::sync::watch;
 
 use crate::lock::lock;
@@ -152,7 +151,7 @@
         let now = self.now();
         let mut rolled_back = false;
         self.era.send_if_modified(|seen| {
-            rolled_back = seen.saw(now, revision);
+            rolled_back = seen.observe(now, revision);
             rolled_back
         });
         if rolled_back {
@@ -172,7 +171,7 @@
     }
 
     /// Subscribes to restores of the directory from an older copy.
-    pub(crate) fn subscribe_era(&self) -> watch::Receiver<SeenEra> {
+    pub(crate) fn subscribe_era(&self) -> watch::Receiver<EraTracker> {
         self.era.subscribe()
     }
 
