--- a/lib/src/gossip.rs
+++ b/lib/src/gossip.rs
@@ -1,8 +1,8 @@
-//! The datagrams by which processes tell each other who is there, who leaves, and which version of
-//! the configuration they hold.
+//! Gossip datagrams, in which processes exchange membership state and the version of the
+//! configuration that they have in force.
 //!
-//! A datagram is the postcard form of a [`Message`] and a keyed BLAKE3 tag, so that bytes of another
-//! system, or of nobody, change nothing.
+//! A datagram is a [`Message`] encoded by postcard, followed by a keyed BLAKE3 tag, so that bytes
+//! from other systems or corrupted ones have no effect.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -13,24 +13,24 @@
 use crate::ids::Name;
 use crate::value_type;
 
-/// The most bytes of a datagram: below what every path carries in one piece.
+/// Largest size of a datagram in bytes, small enough for every path to carry it unfragmented.
 pub const MAX_DATAGRAM: usize = 1_200;
 
-/// The most words that a datagram carries. A word takes up to 18 bytes.
+/// Most updates in a datagram. An update takes up to 18 bytes.
 pub const MAX_WORDS: usize = 48;
 
-/// Bytes that IP and UDP add to a datagram.
+/// Bytes that the headers of IP and UDP add to a datagram.
 pub const OVERHEAD: usize = 28;
 
-const TAG: usize = 16;
+const TAG_BYTES: usize = 16;
 
-/// Why a datagram was dropped.
+/// Reason for which a datagram was dropped.
 #[derive(Clone, Copy, Debug, Error, Eq, PartialEq)]
 pub enum GossipError {
     /// The tag does not match the bytes.
     #[error("the datagram's tag is wrong; see that all processes hold the same key")]
     Tag,
-    /// The bytes are no message of this version.
+    /// The bytes cannot be decoded as a message of this version.
     #[error("the datagram cannot be read; see that all processes run compatible versions")]
     Malformed,
 }
@@ -38,89 +38,90 @@
 /// The result of reading a datagram.
 pub type Result<T> = std::result::Result<T, GossipError>;
 
-/// A digest of a host's name, which stands for the host in datagrams.
+/// Identifies a host in datagrams by a digest of its name.
 ///
-/// 48 bits: among 2,000 hosts two have the same with a chance of one in 100 million.
+/// With 48 bits, the chance that any two of 2,000 hosts collide is one in 100 million.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct MemberId([u8; 6]);
 
 copy_type! {
-    /// Orders what a process and others say of it: the later start wins, then the later word.
+    /// Orders the reports on one process: the later incarnation wins, then the higher serial.
     #[derive(Default)]
-    pub struct Life {
-        /// The process's start in milliseconds of Unix time, or above that of its predecessor.
+    pub struct StateVersion {
+        /// Start time of the process in milliseconds of Unix time, or a value above the incarnation
+        /// of its predecessor.
         pub incarnation: u64,
-        /// Grows whenever the process says something new of itself.
+        /// Increases whenever the process reports a new state of itself.
         pub serial: u32,
     }
 
-    /// What is said of a process, the worse the greater.
-    pub enum Said {
-        /// It takes new work.
+    /// State reported of a process, ordered from best to worst.
+    pub enum ReportedState {
+        /// Accepts new work.
         Ready,
-        /// It takes no new work and finishes what it has.
+        /// Accepts no new work and finishes the work it has.
         Draining,
-        /// Nobody who was asked could reach it.
+        /// No process that was asked could reach it.
         Suspect,
-        /// It is about to end, or has ended.
+        /// Is about to exit, or has exited.
         Leaving,
     }
 
-    /// A word on a process, its own or another's.
+    /// A report on the state of a process, made by itself or by another.
     pub struct Word {
-        /// The process.
+        /// The process that the report is on.
         pub id: MemberId,
-        /// To which life it applies.
-        pub life: Life,
-        /// What is said.
-        pub said: Said,
+        /// Incarnation and serial of the process that the report applies to.
+        pub version: StateVersion,
+        /// The state reported.
+        pub reported: ReportedState,
     }
 }
 
 value_type! {
-    /// What a datagram is for.
+    /// Purpose of a datagram.
     pub enum Purpose {
-        /// Tells what the sender knows.
-        Tell,
-        /// Asks for an [`Purpose::Ack`] with the same number.
+        /// Only carries the updates; needs no answer.
+        Update,
+        /// Requests a [`Purpose::Ack`] with the same nonce.
         Ping(u32),
-        /// Answers a ping.
+        /// Answers the ping with this nonce.
         Ack(u32),
-        /// Asks the receiver to ping another process on the sender's behalf.
-        Ask {
-            /// Comes back with the answer.
+        /// Requests that the receiver ping another process on the sender's behalf.
+        PingRequest {
+            /// Returned in the answer.
             nonce: u32,
             /// The process to ping.
             target: MemberId,
         },
-        /// Tells that the process asked about has answered.
-        Reached {
-            /// The number of the question.
+        /// Reports that the target of a [`Purpose::PingRequest`] has answered.
+        IndirectAck {
+            /// Nonce of the request.
             nonce: u32,
         },
     }
 
-    /// One datagram.
+    /// Content of a datagram.
     pub struct Message {
         /// The sender.
         pub id: MemberId,
-        /// Its life.
-        pub life: Life,
-        /// What it says of itself.
-        pub said: Said,
-        /// Whether it started lately and wants to know of all who are not ready.
-        pub fresh: bool,
-        /// The version of the configuration that it has in force and can hand on.
+        /// Incarnation and serial of the sender.
+        pub version: StateVersion,
+        /// State that the sender reports of itself.
+        pub reported: ReportedState,
+        /// Whether the sender started recently and needs updates on all members that are not ready.
+        pub recently_started: bool,
+        /// Version of the configuration that the sender has in force and can serve to others.
         pub config: Option<ConfigVersionId>,
-        /// What the datagram is for.
+        /// Purpose of the datagram.
         pub purpose: Purpose,
-        /// Words on others; at most [`MAX_WORDS`].
-        pub words: Vec<Word>,
+        /// Updates on other members; at most [`MAX_WORDS`].
+        pub updates: Vec<Word>,
     }
 }
 
 impl MemberId {
-    /// The digest of `name`.
+    /// Returns the identifier of the host called `name`.
     pub fn new(name: &Name) -> Self {
         let digest = blake3::hash(name.as_str().as_bytes());
         let mut bytes = [0; 6];
@@ -128,7 +129,7 @@
         MemberId(bytes)
     }
 
-    /// Any identifier.
+    /// Returns a random identifier.
     pub(crate) fn random(rng: &mut fastrand::Rng) -> Self {
         let mut bytes = [0; 6];
         rng.fill(&mut bytes);
@@ -137,21 +138,24 @@
 }
 
 impl Message {
-    /// The datagram under `key`.
+    /// Encodes the message and appends its tag under `key`.
     pub fn seal(&self, key: &[u8; 32]) -> Vec<u8> {
         let mut bytes = postcard::to_stdvec(self).expect("plain data is written to memory");
         let tag = blake3::keyed_hash(key, &bytes);
-        bytes.extend_from_slice(&tag.as_bytes()[..TAG]);
+        bytes.extend_from_slice(&tag.as_bytes()[..TAG_BYTES]);
         bytes
     }
 
-    /// Reads a datagram that was sealed under `key`.
+    /// Verifies the tag of a datagram under `key` and decodes the message.
     pub fn open(datagram: &[u8], key: &[u8; 32]) -> Result<Self> {
-        let length = datagram.len().checked_sub(TAG).ok_or(GossipError::Tag)?;
+        let length = datagram
+            .len()
+            .checked_sub(TAG_BYTES)
+            .ok_or(GossipError::Tag)?;
         let (bytes, tag) = datagram.split_at(length);
         let wanted = blake3::keyed_hash(key, bytes);
-        // Comparing digests of the tags takes the same time wherever they differ.
-        if blake3::hash(&wanted.as_bytes()[..TAG]) != blake3::hash(tag) {
+        // The time to compare the digests does not reveal at which byte the tags differ.
+        if blake3::hash(&wanted.as_bytes()[..TAG_BYTES]) != blake3::hash(tag) {
             return Err(GossipError::Tag);
         }
         postcard::from_bytes(bytes).map_err(|_| GossipError::Malformed)
--- a/lib/src/gossip_net.rs
+++ b/lib/src/gossip_net.rs
@@ -1,4 +1,4 @@
-//! Carries the datagrams of [`crate::membership`] over UDP.
+//! Sends and receives the datagrams of [`crate::membership`] over UDP.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,24 +20,24 @@
 use crate::membership::TICK;
 use crate::time::Clock;
 
-/// Bytes and datagrams, with the headers of IP and UDP.
+/// Counters of datagrams and their bytes, including the headers of IP and UDP.
 #[derive(Debug, Default)]
 pub struct GossipCounts {
     /// Datagrams sent.
     pub sent: AtomicU64,
-    /// Their bytes.
+    /// Bytes sent.
     pub sent_bytes: AtomicU64,
-    /// Datagrams received and read.
+    /// Datagrams received and decoded.
     pub received: AtomicU64,
-    /// Bytes received, the dropped ones included.
+    /// Bytes received, including those of dropped datagrams.
     pub received_bytes: AtomicU64,
-    /// Datagrams dropped since their tag or form is wrong.
+    /// Datagrams dropped because the tag or the encoding is invalid.
     pub dropped: AtomicU64,
-    /// Datagrams that the socket did not take.
+    /// Datagrams that the socket failed to send.
     pub unsent: AtomicU64,
 }
 
-/// A membership that is in touch with others.
+/// Runs a [`Membership`] over a UDP socket.
 #[derive(Clone)]
 pub struct GossipNet {
     socket: Arc<UdpSocket>,
@@ -48,7 +48,7 @@
 }
 
 impl GossipNet {
-    /// Binds the socket. `key` is the one that all processes of the system share.
+    /// Binds the socket. All processes of the system share `key`.
     pub async fn bind(
         address: SocketAddr,
         key: [u8; 32],
@@ -65,17 +65,17 @@
         })
     }
 
-    /// Where the socket is bound.
+    /// Address that the socket is bound to.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// What was sent and received.
+    /// Counters of this socket.
     pub fn counts(&self) -> &GossipCounts {
         &self.counts
     }
 
-    /// The membership. To be held for a moment only.
+    /// Locks the membership. Hold the guard only briefly.
     pub fn membership(&self) -> MutexGuard<'_, Membership> {
         // Nothing panics while it holds the lock.
         self.membership
@@ -83,11 +83,11 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends and receives until it is dropped.
+    /// Sends and receives until the future is dropped.
     pub async fn run(&self) {
         let mut rng = fastrand::Rng::new();
         let mut ticks = tokio::time::interval(TICK);
-        // After a pause one tick tells the membership all that it needs.
+        // After a pause a single tick suffices; ticks that were missed need not be made up for.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut buffer = [0; MAX_DATAGRAM + 1];
         loop {
@@ -98,7 +98,7 @@
                 }
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((length, from)) => self.receive(from, &buffer[..length], &mut rng),
-                    // A peer's host said that nobody listens there; others are not concerned.
+                    // ICMP "port unreachable" from one peer's host; other peers are not affected.
                     Err(_) => Vec::new(),
                 },
             };
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Sends news of this process at once, as before it ends.
+    /// Sends pending updates at once, for example before the process exits.
     pub async fn flush(&self) {
         let now = self.clock.now();
         let out = self.membership().tick(now, &mut fastrand::Rng::new());
@@ -133,7 +133,7 @@
     async fn send(&self, datagram: &Datagram) {
         let bytes = datagram.message.seal(&self.key);
         let size = (bytes.len() + OVERHEAD) as u64;
-        // Lost or refused, a datagram is made up for by later ones.
+        // Later datagrams make up for one that is lost or refused.
         if self.socket.send_to(&bytes, datagram.to).await.is_err() {
             self.counts.unsent.fetch_add(1, Ordering::Relaxed);
             return;
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -1,13 +1,15 @@
-//! Which processes are there, which take new work, and which version of the configuration is about.
+//! Gossip-based membership: which processes exist, which accept new work, and which version of the
+//! configuration is the newest.
 //!
-//! Load pattern: 1,370 processes in ten availability zones, some of which leave, die, are cut off or
-//! restart at any time, while the platform's list of hosts lags by seconds. If everyone watched
-//! everyone, a process would receive 1,369 heartbeats a second, 150 KB. Here each sends three
-//! datagrams a second whatever the number of processes, mostly within its availability zone, and
-//! news is passed on at once (see `broadcast_queue`). One of the three is a ping (see
-//! `probes`), so that each process is pinged about once a second by someone near.
+//! Load pattern: 1,370 processes in ten availability zones, some of which leave, crash, are
+//! partitioned or restart at any time, while the platform's list of hosts lags by seconds. If every
+//! process sent heartbeats to every other, a process would receive 1,369 of them, or 150 KB, per
+//! second. Instead each process sends three datagrams per second regardless of the number of
+//! processes, mostly within its availability zone, and forwards new updates at once (see
+//! `broadcast_queue`). One of the three datagrams is a ping (see `probes`), so each process is
+//! pinged about once per second by a nearby one.
 //!
-//! A call takes O(words in the datagram); [`Membership::members`] O(processes).
+//! A call takes O(updates in the datagram), and [`Membership::members`] O(processes).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,14 +17,14 @@
 use crate::broadcast_queue::BroadcastQueue;
 use crate::config_apply::ConfigVersionId;
 use crate::config_seen::NewestConfig;
-use crate::gossip::Life;
 use crate::gossip::MemberId;
 use crate::gossip::Message;
 use crate::gossip::OVERHEAD;
 use crate::gossip::Purpose;
-use crate::gossip::Said;
+use crate::gossip::ReportedState;
+use crate::gossip::StateVersion;
 use crate::gossip::Word;
-use crate::peers::Turns;
+use crate::peers::PingSchedule;
 use crate::platform::HostRecord;
 use crate::probes::PingOrigin;
 use crate::probes::ProbeStep;
@@ -34,84 +36,90 @@
 use crate::roster::Roster;
 use crate::time::Time;
 
-/// How often [`Membership::tick`] is to be called: the delay that each hop adds to news.
+/// Interval between calls of [`Membership::tick`], which is the delay that each hop adds to an
+/// update.
 pub const TICK: Duration = Duration::from_millis(100);
 
-const BEAT: Duration = Duration::from_millis(1_000);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-// Words that ride with each datagram of a second.
-const RIDERS: usize = 8;
+// Updates piggybacked on each periodic datagram.
+const PIGGYBACKED_UPDATES: usize = 8;
 
-// Words on members that are not ready, in each ping and its answer; who knows better says so.
+// Updates on members that are not ready in each ping and its answer. A receiver that has newer
+// updates sends them back.
 const REMINDERS: usize = 16;
 
-// The same in answer to a process that started lately.
-const NEWCOMER: usize = 32;
+// The same, in the answer to a process that started recently.
+const NEWCOMER_REMINDERS: usize = 32;
 
-// A process asks for that many for as long as this after its start.
-const FRESH: Duration = Duration::from_secs(5);
+// How long after its start a process requests that many.
+const STARTUP_PERIOD: Duration = Duration::from_secs(5);
 
-// Others who are asked to ping a silent member, on paths that have little in common.
-const HELPERS: [Distance; 3] = [Distance::Zone, Distance::Region, Distance::Far];
+// Distances of the members that are asked to ping a member that does not answer, chosen so that
+// their paths to it have little in common.
+const INDIRECT_PROBE_DISTANCES: [Distance; 3] = [Distance::Zone, Distance::Region, Distance::Far];
 
-// Members that are pinged besides, with each beat, since there is doubt about them.
-const RECHECKS: usize = 1;
+// Additional pings per heartbeat, to members whose state is in doubt.
+const RECHECKS_PER_HEARTBEAT: usize = 1;
 
-// Of 100 processes that hear of a new suspect so many ping one of its neighbours. In a system of 50
-// that is five pings, enough to find out about all others within seconds.
-const CURIOUS: u32 = 10;
+// Percentage of the processes learning of a new suspect that ping a member of the suspect's zone.
+// With 50 processes this makes five pings, enough to check all other members within seconds.
+const NEIGHBOUR_CHECK_PERCENT: u32 = 10;
 
-/// Processes of an availability zone that watch the store: those with the greatest identifiers.
+/// Number of processes per availability zone that watch the store: those with the greatest
+/// identifiers.
 pub const WATCHERS: usize = 2;
 
-// Bytes of a datagram without words, and of a word, with all that is sent around them.
-const EMPTY_BYTES: usize = OVERHEAD + 80;
-const WORD_BYTES: usize = 14;
+// Sizes in bytes, for the broadcast budget, of a datagram without updates (including headers) and
+// of an update.
+const EMPTY_DATAGRAM_BYTES: usize = OVERHEAD + 80;
+const UPDATE_BYTES: usize = 14;
 
 /// A datagram to send.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Datagram {
-    /// Where to.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// What.
+    /// Content.
     pub message: Message,
 }
 
-/// The newest version of the configuration that was heard of.
+/// The newest version of the configuration known from gossip.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ConfigSeen {
     /// The version.
     pub mark: ConfigVersionId,
-    /// Some processes that have it in force, in the order in which they were heard.
+    /// Some processes that have it in force, in the order in which they were heard from.
     pub holders: Vec<Member>,
 }
 
-/// What the membership has met, since the process started.
+/// Counters of membership events since the process started.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct MembershipCounts {
-    /// Members suspected by this process.
+    /// Times that this process suspected a member.
     pub suspected: u64,
-    /// Members that only others reached.
+    /// Times that other processes reached a member and this one did not.
     pub silent_links: u64,
-    /// Objections of this process to words against it.
+    /// Times that this process refuted an update on itself.
     pub objections: u64,
-    /// Two digests heard for one version of the configuration.
+    /// Times that a version of the configuration was announced with a digest other than the known
+    /// one.
     pub conflicting: u64,
 }
 
-/// The members as one process knows them.
+/// One process's view of the members, and its part in the gossip protocol.
 pub struct Membership {
     id: MemberId,
-    life: Life,
-    said: Said,
+    version: StateVersion,
+    reported: ReportedState,
     roster: Roster,
     broadcast_queue: BroadcastQueue,
     probes: Probes,
     started: Option<Time>,
-    next_beat: Time,
-    // When a datagram came last.
-    heard: Time,
-    turns: Turns,
+    next_heartbeat: Time,
+    // When the last datagram was received.
+    last_received: Time,
+    ping_schedule: PingSchedule,
     recheck: Vec<MemberId>,
     config: Option<ConfigVersionId>,
     news: NewestConfig,
@@ -119,23 +127,23 @@
 }
 
 impl Membership {
-    /// The membership of a process that knows nobody yet. `incarnation` is the time of its start in
-    /// milliseconds of Unix time.
+    /// Creates the membership of a process that knows no other member yet. `incarnation` is its
+    /// start time in milliseconds of Unix time.
     pub fn new(me: Member, incarnation: u64) -> Self {
         Membership {
             id: MemberId::new(&me.name),
-            life: Life {
+            version: StateVersion {
                 incarnation,
                 serial: 0,
             },
-            said: Said::Ready,
+            reported: ReportedState::Ready,
             roster: Roster::new(me),
             broadcast_queue: BroadcastQueue::new(),
             probes: Probes::default(),
             started: None,
-            next_beat: Time::ZERO,
-            heard: Time::ZERO,
-            turns: Turns::default(),
+            next_heartbeat: Time::ZERO,
+            last_received: Time::ZERO,
+            ping_schedule: PingSchedule::default(),
             recheck: Vec::new(),
             config: None,
             news: NewestConfig::default(),
@@ -143,22 +151,23 @@
         }
     }
 
-    /// Takes in the platform's list of hosts.
+    /// Applies a new version of the platform's list of hosts.
     pub fn hosts(&mut self, now: Time, hosts: &[HostRecord]) {
         self.roster.hosts(now, hosts);
     }
 
-    /// Says that this process takes no new work. It reaches all others within two seconds.
+    /// Announces that this process accepts no new work. The update reaches all others within two
+    /// seconds.
     pub fn set_draining(&mut self, now: Time) {
-        self.say(now, Said::Draining);
+        self.set_own_state(now, ReportedState::Draining);
     }
 
-    /// Says that this process ends.
+    /// Announces that this process is about to exit.
     pub fn set_leaving(&mut self, now: Time) {
-        self.say(now, Said::Leaving);
+        self.set_own_state(now, ReportedState::Leaving);
     }
 
-    /// Says which version of the configuration this process has in force and hands on.
+    /// Announces the version of the configuration that this process has in force and can serve.
     pub fn set_config(&mut self, now: Time, mark: ConfigVersionId) {
         if self.config.as_ref() != Some(&mark) {
             self.news.record(None, &mark);
@@ -167,17 +176,17 @@
         }
     }
 
-    /// All known members but this process.
+    /// Returns all known members except this process.
     pub fn members(&self, now: Time) -> Vec<MemberView> {
         self.roster.views(now)
     }
 
-    /// A member's state.
+    /// Returns the state of a member.
     pub fn state(&self, now: Time, id: MemberId) -> Option<MemberState> {
         Some(self.roster.get(id)?.state(now))
     }
 
-    /// The newest version heard of, this process's own included.
+    /// Returns the newest version of the configuration known, including this process's own.
     pub fn best_config(&self) -> Option<ConfigSeen> {
         let members = self
             .news
@@ -190,15 +199,16 @@
         })
     }
 
-    /// Whether this process is one of the few of its availability zone that watch the store.
+    /// Whether this process is one of the [`WATCHERS`] in its availability zone that watch the
+    /// store.
     pub fn is_watcher(&self, now: Time) -> bool {
         let zone = self.roster.group(Distance::Zone).iter();
         let ready = zone.filter(|id| self.state(now, **id) == Some(MemberState::Ready));
-        // The identifiers are digests, so that their order is as good as a drawn one.
+        // Identifiers are digests, so their order is effectively random.
         ready.filter(|id| **id > self.id).count() < WATCHERS
     }
 
-    /// What was met so far.
+    /// Returns the counters.
     pub fn counts(&self) -> MembershipCounts {
         MembershipCounts {
             conflicting: self.news.conflicting,
@@ -206,19 +216,19 @@
         }
     }
 
-    /// What to send now. To be called every [`TICK`].
+    /// Returns the datagrams to send now. Must be called every [`TICK`].
     pub fn tick(&mut self, now: Time, rng: &mut fastrand::Rng) -> Vec<Datagram> {
         if self.started.is_none() {
             self.started = Some(now);
-            // Processes that start together do not beat together.
-            self.next_beat = now + BEAT.mul_f64(rng.f64());
+            // Spreads the heartbeats of processes that start at the same time.
+            self.next_heartbeat = now + HEARTBEAT_INTERVAL.mul_f64(rng.f64());
             self.broadcast_queue.queue_own_update(now);
         }
         let mut out = Vec::new();
         for step in self.probes.due_steps(now) {
-            self.step(now, step, &mut out, rng);
+            self.run_probe_step(now, step, &mut out, rng);
         }
-        let cost = |words| EMPTY_BYTES + words * WORD_BYTES;
+        let cost = |updates| EMPTY_DATAGRAM_BYTES + updates * UPDATE_BYTES;
         for round in self.broadcast_queue.due_rounds(now, cost) {
             for place in 0..round.copies {
                 let distance = match place % 5 {
@@ -227,17 +237,18 @@
                     _ => Distance::Far,
                 };
                 let peer = self.roster.pick(now, distance, rng);
-                self.send(now, peer, Purpose::Tell, round.words.clone(), &mut out);
+                self.send(now, peer, Purpose::Update, round.words.clone(), &mut out);
             }
         }
-        if now >= self.next_beat {
-            self.next_beat = (self.next_beat + BEAT).max(now + BEAT / 2);
-            self.beat(now, &mut out, rng);
+        if now >= self.next_heartbeat {
+            self.next_heartbeat =
+                (self.next_heartbeat + HEARTBEAT_INTERVAL).max(now + HEARTBEAT_INTERVAL / 2);
+            self.send_heartbeat(now, &mut out, rng);
         }
         out
     }
 
-    /// Takes in a datagram from `from`, and returns what to send in answer.
+    /// Handles a datagram from `from` and returns the datagrams to send in response.
     pub fn receive(
         &mut self,
         now: Time,
@@ -247,93 +258,108 @@
     ) -> Vec<Datagram> {
         let mut out = Vec::new();
         if message.id == self.id {
-            // A datagram of its own, or of one who was given the same name.
+            // The datagram is this process's own, or comes from another one with the same name.
             return out;
         }
-        self.heard = now;
-        let word = Word {
+        self.last_received = now;
+        let update = Word {
             id: message.id,
-            life: message.life,
-            said: message.said,
+            version: message.version,
+            reported: message.reported,
         };
-        if self.roster.hear_directly(now, word) {
-            self.broadcast_queue.push(now, word);
+        if self.roster.apply_direct(now, update) {
+            self.broadcast_queue.push(now, update);
         }
         if let Some(mark) = &message.config {
             self.news.record(Some(message.id), mark);
         }
-        for word in &message.words {
-            self.hear(now, *word, rng);
+        for update in &message.updates {
+            self.handle_update(now, *update, rng);
         }
-        self.answer(now, from, &message, &mut out, rng);
-        self.correct(now, from, &message, &mut out);
+        self.handle_purpose(now, from, &message, &mut out, rng);
+        self.send_corrections(now, from, &message, &mut out);
         out
     }
 
-    fn say(&mut self, now: Time, said: Said) {
-        if self.said < said {
-            self.said = said;
-            self.life.serial += 1;
+    fn set_own_state(&mut self, now: Time, reported: ReportedState) {
+        if self.reported < reported {
+            self.reported = reported;
+            self.version.serial += 1;
             self.broadcast_queue.queue_own_update(now);
         }
     }
 
-    fn hear(&mut self, now: Time, word: Word, rng: &mut fastrand::Rng) {
-        if word.id == self.id {
-            self.object(now, word);
-        } else if self.roster.hear(now, word) {
-            // Bad news that is new to a newcomer is old. When all restart at once, they would else
-            // pass on the last words of each other's predecessors.
-            if !self.is_fresh(now) || word.said == Said::Ready {
-                self.broadcast_queue.push(now, word);
+    fn handle_update(&mut self, now: Time, update: Word, rng: &mut fastrand::Rng) {
+        if update.id == self.id {
+            self.refute(now, update);
+        } else if self.roster.apply(now, update) {
+            // An update that a recently started process did not know is usually old. After a mass
+            // restart, processes would otherwise forward the final updates of each other's
+            // predecessors.
+            if !self.recently_started(now) || update.reported == ReportedState::Ready {
+                self.broadcast_queue.push(now, update);
             }
-            if word.said == Said::Suspect && rng.u32(..100) < CURIOUS {
-                // Where one is gone, its neighbours may be: a rack, a zone, the link to a region.
-                let neighbours = self.roster.neighbours(now, word.id);
-                self.recheck.extend(rng.choice(neighbours));
+            if update.reported == ReportedState::Suspect && rng.u32(..100) < NEIGHBOUR_CHECK_PERCENT
+            {
+                // Other members of its zone may be gone as well: a rack or zone may have failed, or
+                // the link to a region.
+                let zone_peers = self.roster.zone_peers(now, update.id);
+                self.recheck.extend(rng.choice(zone_peers));
             }
         }
     }
 
-    // Others say worse of this process than it does, or speak of a predecessor whose clock was ahead.
-    fn object(&mut self, now: Time, word: Word) {
-        let against = word.life == self.life && word.said > self.said;
-        if word.life <= self.life && !against {
-            if word.life.incarnation < self.life.incarnation && word.said > self.said {
-                // Somebody has not heard that the predecessor is replaced.
+    // Refutes an update that reports a worse state of this process than its own, or that is about a
+    // predecessor whose clock was ahead.
+    fn refute(&mut self, now: Time, update: Word) {
+        let against = update.version == self.version && update.reported > self.reported;
+        if update.version <= self.version && !against {
+            if update.version.incarnation < self.version.incarnation
+                && update.reported > self.reported
+            {
+                // A process has not learnt yet that the predecessor was replaced.
                 self.broadcast_queue.queue_own_update(now);
             }
             return;
         }
-        let incarnation = self.life.incarnation;
-        self.life = if word.life.incarnation > incarnation {
-            Life {
-                incarnation: word.life.incarnation + 1,
+        let incarnation = self.version.incarnation;
+        self.version = if update.version.incarnation > incarnation {
+            StateVersion {
+                incarnation: update.version.incarnation + 1,
                 serial: 0,
             }
         } else {
-            Life {
+            StateVersion {
                 incarnation,
-                serial: word.life.serial + 1,
+                serial: update.version.serial + 1,
             }
         };
         self.counts.objections += 1;
         self.broadcast_queue.queue_own_update(now);
     }
 
-    // Whoever missed a word would go by the old one until it hears the process itself, which in a
-    // large system takes minutes.
-    fn correct(&mut self, now: Time, from: SocketAddr, message: &Message, out: &mut Vec<Datagram>) {
-        let words = message.words.iter();
-        let words: Vec<_> = words.filter_map(|w| self.roster.correction(*w)).collect();
-        let bytes = EMPTY_BYTES + words.len() * WORD_BYTES;
-        if !words.is_empty() && self.broadcast_queue.try_spend(now, bytes) {
-            let message = self.message(now, Purpose::Tell, words);
+    // Sends newer updates to a sender whose updates are outdated. A process that missed an update
+    // would otherwise use the old state until it hears from the member itself, which takes minutes
+    // in a large system.
+    fn send_corrections(
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        message: &Message,
+        out: &mut Vec<Datagram>,
+    ) {
+        let updates = message.updates.iter();
+        let updates: Vec<_> = updates
+            .filter_map(|update| self.roster.correction(*update))
+            .collect();
+        let bytes = EMPTY_DATAGRAM_BYTES + updates.len() * UPDATE_BYTES;
+        if !updates.is_empty() && self.broadcast_queue.try_spend(now, bytes) {
+            let message = self.message(now, Purpose::Update, updates);
             out.push(Datagram { to: from, message });
         }
     }
 
-    fn answer(
+    fn handle_purpose(
         &mut self,
         now: Time,
         from: SocketAddr,
@@ -342,38 +368,42 @@
         rng: &mut fastrand::Rng,
     ) {
         match message.purpose {
-            Purpose::Tell => {}
+            Purpose::Update => {}
             Purpose::Ping(nonce) => {
-                let most = if message.fresh { NEWCOMER } else { REMINDERS };
-                // One of them may be on the receiver itself, which objects.
-                let words = self.roster.unready(most, rng);
-                let message = self.message(now, Purpose::Ack(nonce), words);
+                let most = if message.recently_started {
+                    NEWCOMER_REMINDERS
+                } else {
+                    REMINDERS
+                };
+                // One of the updates may be on the receiver itself, which can then refute it.
+                let updates = self.roster.sample_unready(most, rng);
+                let message = self.message(now, Purpose::Ack(nonce), updates);
                 out.push(Datagram { to: from, message });
             }
             Purpose::Ack(nonce) => {
                 if let PingOrigin::Requester { address, nonce } = self.probes.handle_ack(nonce) {
-                    let word = Word {
+                    let update = Word {
                         id: message.id,
-                        life: message.life,
-                        said: message.said,
+                        version: message.version,
+                        reported: message.reported,
                     };
-                    let message = self.message(now, Purpose::Reached { nonce }, vec![word]);
+                    let message = self.message(now, Purpose::IndirectAck { nonce }, vec![update]);
                     out.push(Datagram {
                         to: address,
                         message,
                     });
                 }
             }
-            Purpose::Ask { nonce, target } => {
+            Purpose::PingRequest { nonce, target } => {
                 let nonce = self.probes.start_indirect(now, target, from, nonce, rng);
-                let words = Vec::new();
-                self.send(now, Some(target), Purpose::Ping(nonce), words, out);
+                let updates = Vec::new();
+                self.send(now, Some(target), Purpose::Ping(nonce), updates, out);
             }
-            Purpose::Reached { nonce } => self.probes.mark_reached(nonce),
+            Purpose::IndirectAck { nonce } => self.probes.mark_reached(nonce),
         }
     }
 
-    fn step(
+    fn run_probe_step(
         &mut self,
         now: Time,
         step: ProbeStep,
@@ -382,72 +412,78 @@
     ) {
         match step {
             ProbeStep::Retry { nonce, target, ask } => {
-                let words = Vec::new();
-                self.send(now, Some(target), Purpose::Ping(nonce), words, out);
-                let helpers = if ask { HELPERS.as_slice() } else { &[] };
+                let updates = Vec::new();
+                self.send(now, Some(target), Purpose::Ping(nonce), updates, out);
+                let helpers = if ask {
+                    INDIRECT_PROBE_DISTANCES.as_slice()
+                } else {
+                    &[]
+                };
                 for distance in helpers {
                     let helper = self.roster.pick(now, *distance, rng);
                     let helper = helper.filter(|id| *id != target);
-                    let purpose = Purpose::Ask { nonce, target };
+                    let purpose = Purpose::PingRequest { nonce, target };
                     self.send(now, helper, purpose, Vec::new(), out);
                 }
             }
             ProbeStep::LinkDown(target) => {
                 self.counts.silent_links += 1;
-                self.roster.link_is_silent(now, target);
-                // Loss may have hit all three pings: the next one tells within a second.
+                self.roster.mark_link_down(now, target);
+                // All three pings may have been lost, so the link is checked again within a second.
                 self.recheck.push(target);
             }
-            // Who hears nobody is cut off itself, and has nothing to say of others.
-            ProbeStep::Suspect { target, since } if self.heard <= since => {
-                self.roster.link_is_silent(now, target);
+            // A process that has received nothing since is itself cut off, so it reports no
+            // suspicion.
+            ProbeStep::Suspect { target, since } if self.last_received <= since => {
+                self.roster.mark_link_down(now, target);
             }
-            ProbeStep::Suspect { target, since } => self.condemn(now, target, since),
+            ProbeStep::Suspect { target, since } => self.suspect(now, target, since),
         }
     }
 
-    fn condemn(&mut self, now: Time, target: MemberId, since: Time) {
+    fn suspect(&mut self, now: Time, target: MemberId, since: Time) {
         let Some(entry) = self.roster.get(target) else {
             return;
         };
         if entry.heard_since(since) {
             return;
         }
-        let word = Word {
+        let update = Word {
             id: target,
-            life: entry.life,
-            said: Said::Suspect,
+            version: entry.version,
+            reported: ReportedState::Suspect,
         };
-        if self.roster.hear(now, word) {
+        if self.roster.apply(now, update) {
             self.counts.suspected += 1;
-            self.broadcast_queue.push(now, word);
+            self.broadcast_queue.push(now, update);
         }
     }
 
-    fn beat(&mut self, now: Time, out: &mut Vec<Datagram>, rng: &mut fastrand::Rng) {
-        let words = self.broadcast_queue.piggyback(RIDERS);
-        let target = self.turns.next(now, &self.roster, rng);
-        let reminders = self.roster.unready(REMINDERS, rng);
+    fn send_heartbeat(&mut self, now: Time, out: &mut Vec<Datagram>, rng: &mut fastrand::Rng) {
+        let updates = self.broadcast_queue.piggyback(PIGGYBACKED_UPDATES);
+        let target = self.ping_schedule.next(now, &self.roster, rng);
+        let reminders = self.roster.sample_unready(REMINDERS, rng);
         self.ping(now, target, reminders, out, rng);
         let zone = self.roster.pick(now, Distance::Zone, rng);
-        self.send(now, zone, Purpose::Tell, words.clone(), out);
-        // Links between regions are paid by volume: one datagram in twelve.
+        self.send(now, zone, Purpose::Update, updates.clone(), out);
+        // Traffic between regions is paid by volume, so only one datagram in twelve goes there.
         let distance = if rng.u8(..4) == 0 {
             Distance::Far
         } else {
             Distance::Region
         };
         let other = self.roster.pick(now, distance, rng);
-        self.send(now, other, Purpose::Tell, words, out);
-        for _ in 0..RECHECKS {
+        self.send(now, other, Purpose::Update, updates, out);
+        for _ in 0..RECHECKS_PER_HEARTBEAT {
             let lost = self.recheck.pop();
             self.ping(now, lost, Vec::new(), out, rng);
         }
         if self.recheck.is_empty() && rng.u8(..5) == 0 {
-            let missing: Vec<_> = self.roster.missing(now).collect();
+            let missing: Vec<_> = self.roster.unreached(now).collect();
             let lost = rng.choice(missing);
-            // A verdict stands already: nothing is to follow if no answer comes. With questions to
-            // others a lost region would cost each process 13 KB a second.
+            // The member's state is already bad, so a missing answer has no consequence and the
+            // ping is not tracked as a probe. With indirect probes, a lost region would cost each
+            // process 13 KB per second.
             let purpose = Purpose::Ping(rng.u32(..));
             self.send(now, lost, purpose, Vec::new(), out);
         }
@@ -457,13 +493,13 @@
         &mut self,
         now: Time,
         target: Option<MemberId>,
-        words: Vec<Word>,
+        updates: Vec<Word>,
         out: &mut Vec<Datagram>,
         rng: &mut fastrand::Rng,
     ) {
         if let Some(target) = target {
             let nonce = self.probes.start(now, target, rng);
-            self.send(now, Some(target), Purpose::Ping(nonce), words, out);
+            self.send(now, Some(target), Purpose::Ping(nonce), updates, out);
         }
     }
 
@@ -472,14 +508,14 @@
         now: Time,
         to: Option<MemberId>,
         purpose: Purpose,
-        words: Vec<Word>,
+        updates: Vec<Word>,
         out: &mut Vec<Datagram>,
     ) {
         let Some(to) = to else {
             return;
         };
         if let Some(address) = self.roster.address(to) {
-            let message = self.message(now, purpose, words);
+            let message = self.message(now, purpose, updates);
             out.push(Datagram {
                 to: address,
                 message,
@@ -487,19 +523,19 @@
         }
     }
 
-    fn is_fresh(&self, now: Time) -> bool {
-        self.started.is_none_or(|at| now < at + FRESH)
+    fn recently_started(&self, now: Time) -> bool {
+        self.started.is_none_or(|at| now < at + STARTUP_PERIOD)
     }
 
-    fn message(&self, now: Time, purpose: Purpose, words: Vec<Word>) -> Message {
+    fn message(&self, now: Time, purpose: Purpose, updates: Vec<Word>) -> Message {
         Message {
             id: self.id,
-            life: self.life,
-            said: self.said,
-            fresh: self.is_fresh(now),
+            version: self.version,
+            reported: self.reported,
+            recently_started: self.recently_started(now),
             config: self.config.clone(),
             purpose,
-            words,
+            updates,
         }
     }
 }
--- a/lib/src/peers.rs
+++ b/lib/src/peers.rs
@@ -1,20 +1,23 @@
-//! Which members datagrams go to.
+//! Chooses the members that datagrams are sent to.
 
 use crate::gossip::MemberId;
 use crate::roster::Distance;
 use crate::roster::Roster;
 use crate::time::Time;
 
-/// Whom to ping next.
+/// Decides which member to ping next.
 #[derive(Default)]
-pub(crate) struct Turns {
-    // Members of the own availability zone that are yet to be pinged in this round.
+pub(crate) struct PingSchedule {
+    // Members of this process's availability zone not yet pinged in the current round, shuffled.
     order: Vec<MemberId>,
 }
 
-impl Turns {
-    /// Each member of the availability zone in turn, so that none goes unpinged for long; now and then
-    /// one elsewhere, for zones in which nobody is left to ping the others.
+impl PingSchedule {
+    /// Returns the next member to ping.
+    ///
+    /// Pings the members of the own availability zone in a shuffled round robin, so that none stays
+    /// unpinged for long. One ping in five or so goes to another zone or region, because a zone may
+    /// have no process left that pings its members.
     pub(crate) fn next(
         &mut self,
         now: Time,
@@ -40,7 +43,7 @@
 }
 
 impl Roster {
-    /// A random peer at the distance, or at another one where there is none.
+    /// Returns a random peer at the wanted distance, or at another one if it finds none there.
     pub(crate) fn pick(
         &self,
         now: Time,
--- a/lib/src/roster.rs
+++ b/lib/src/roster.rs
@@ -1,9 +1,10 @@
-//! Who is there, as one process knows it: the platform's list, what processes say of themselves, and
-//! what others say of them.
+//! One process's view of the members, merged from three sources: the platform's list of hosts, what
+//! processes report of themselves, and what others report of them.
 //!
-//! The list lags by seconds, so a leaving process would go on to get new work from everyone who
-//! trusts the list alone. Words and direct evidence go above it; of several the worst counts for new
-//! work. Everything is O(1) per word; `Roster::views` is O(n).
+//! The list lags by seconds, so a process that trusted it alone would keep sending new work to a
+//! leaving process. Gossiped updates and direct contact therefore take precedence over the list;
+//! where sources differ, the worst state decides whether a member gets new work. Each update is
+//! applied in O(1); `Roster::views` is O(n).
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -11,9 +12,9 @@
 use std::time::Duration;
 
 use crate::copy_type;
-use crate::gossip::Life;
 use crate::gossip::MemberId;
-use crate::gossip::Said;
+use crate::gossip::ReportedState;
+use crate::gossip::StateVersion;
 use crate::gossip::Word;
 use crate::ids::Name;
 use crate::platform::HostRecord;
@@ -21,56 +22,57 @@
 use crate::time::Time;
 use crate::value_type;
 
-// A suspect has this long to object. Its objection travels as fast as a draining word, under 2 s.
-const OBJECTION: Duration = Duration::from_secs(3);
+// How long a suspect has to refute the suspicion before it counts as lost. A refutation spreads as
+// fast as an update on draining, in less than 2 s.
+const REFUTATION_TIMEOUT: Duration = Duration::from_secs(3);
 
-// A silent link is believed until the peer is heard, and without any sign for this long: in an
-// availability zone of 140 each is pinged by each other one about every three minutes.
-const LINK_MEMORY: Duration = Duration::from_secs(180);
+// How long a link counts as down unless the peer is heard from directly. In an availability zone of
+// 140 processes, each pings each other one about every three minutes.
+const LINK_DOWN_TIMEOUT: Duration = Duration::from_secs(180);
 
-// A member that the list no longer names goes once it was not heard of for this long.
-const FORGET: Duration = Duration::from_secs(30);
+// A member that the platform's list no longer names is removed after this long without news of it.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(30);
 
 copy_type! {
-    /// What a process makes of a member.
+    /// State of a member, as one process sees it.
     pub enum MemberState {
-        /// It takes new work.
+        /// Accepts new work.
         Ready,
-        /// It takes no new work and finishes what it has.
+        /// Accepts no new work and finishes the work it has.
         Draining,
-        /// Others reach it and this process does not: send no new work over this link.
+        /// Other processes reach it and this one does not, so no new work is sent over this link.
         Unreachable,
-        /// Nobody who was asked reached it, and it has not objected yet.
+        /// No process that was asked reached it, and it has not refuted the suspicion yet.
         Suspect,
-        /// It is about to end, or has ended.
+        /// Is about to exit, or has exited.
         Leaving,
-        /// It was suspected and has not objected in time.
+        /// Was suspected and did not refute the suspicion in time.
         Lost,
     }
 }
 
 value_type! {
-    /// Where a process is and what it does.
+    /// Identity, location and role of a process.
     pub struct Member {
-        /// The host's name.
+        /// Name of the host.
         pub name: Name,
-        /// The role.
+        /// Role of the process.
         pub role: HostRole,
-        /// Where it is reached, over TCP and UDP.
+        /// Address at which it is reached, over TCP and UDP.
         pub address: SocketAddr,
-        /// The service of its backend server; empty for an entry.
+        /// Service of its backend server; empty for an entry.
         pub service: Name,
-        /// The region.
+        /// Region of the host.
         pub region: Name,
-        /// The availability zone.
+        /// Availability zone of the host.
         pub zone: Name,
     }
 
     /// A member and its state.
     pub struct MemberView {
-        /// Where it is and what it does.
+        /// Identity, location and role.
         pub member: Member,
-        /// What this process makes of it.
+        /// State as this process sees it.
         pub state: MemberState,
     }
 }
@@ -88,7 +90,7 @@
     }
 }
 
-/// How far away a member is.
+/// Network distance of a member from this process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Distance {
     Zone,
@@ -97,82 +99,89 @@
 }
 
 pub(crate) struct Entry {
-    // `None` for one that was heard of and is not in the list yet.
+    // `None` for a member known from gossip that the platform's list does not name yet.
     pub(crate) member: Option<Member>,
-    pub(crate) life: Life,
-    said: Said,
-    since: Time,
-    heard: Option<Time>,
-    link_silent: Option<Time>,
+    pub(crate) version: StateVersion,
+    reported: ReportedState,
+    state_since: Time,
+    last_heard: Option<Time>,
+    link_down_at: Option<Time>,
     listed: bool,
-    list_leaving: bool,
-    // The incarnation that the list's leaving applies to; zero where none was known.
-    leaving_life: u64,
+    listed_leaving: bool,
+    // Incarnation known when the list marked the member as leaving; zero if none was known.
+    leaving_incarnation: u64,
 }
 
 impl Entry {
     fn new(now: Time) -> Self {
         Entry {
             member: None,
-            life: Life::default(),
-            said: Said::Ready,
-            since: now,
-            heard: None,
-            link_silent: None,
+            version: StateVersion::default(),
+            reported: ReportedState::Ready,
+            state_since: now,
+            last_heard: None,
+            link_down_at: None,
             listed: false,
-            list_leaving: false,
-            leaving_life: 0,
+            listed_leaving: false,
+            leaving_incarnation: 0,
         }
     }
 
     fn is_leaving_by_list(&self) -> bool {
-        // The list may still mean a predecessor of the same name.
-        let replaced = self.leaving_life > 0 && self.life.incarnation > self.leaving_life;
-        self.list_leaving && !replaced
+        // The list may still refer to a predecessor of the same name.
+        let replaced =
+            self.leaving_incarnation > 0 && self.version.incarnation > self.leaving_incarnation;
+        self.listed_leaving && !replaced
     }
 
-    /// Whether the member itself was heard since then.
+    /// Whether a datagram came from the member itself after `since`.
     pub(crate) fn heard_since(&self, since: Time) -> bool {
-        self.heard.is_some_and(|at| at > since)
+        self.last_heard.is_some_and(|at| at > since)
     }
 
-    /// What to make of the member.
+    /// State of the member, from all evidence so far.
     pub(crate) fn state(&self, now: Time) -> MemberState {
-        // Whoever was heard itself after it was suspected lives, also before its objection arrives.
-        let suspect = self.said == Said::Suspect && self.heard.is_none_or(|at| at <= self.since);
-        if self.said == Said::Leaving {
+        // A member that was heard from after it was suspected is alive, even before its refutation
+        // arrives.
+        let suspect = self.reported == ReportedState::Suspect
+            && self.last_heard.is_none_or(|at| at <= self.state_since);
+        if self.reported == ReportedState::Leaving {
             MemberState::Leaving
-        } else if suspect && now >= self.since + OBJECTION {
+        } else if suspect && now >= self.state_since + REFUTATION_TIMEOUT {
             MemberState::Lost
         } else if suspect {
             MemberState::Suspect
-        } else if self.link_silent.is_some_and(|at| now < at + LINK_MEMORY) {
+        } else if self
+            .link_down_at
+            .is_some_and(|at| now < at + LINK_DOWN_TIMEOUT)
+        {
             MemberState::Unreachable
-        } else if self.said == Said::Draining || self.is_leaving_by_list() {
+        } else if self.reported == ReportedState::Draining || self.is_leaving_by_list() {
             MemberState::Draining
         } else {
             MemberState::Ready
         }
     }
 
-    /// The word that stands, if it is other than ready.
-    fn word(&self, id: MemberId) -> Option<Word> {
-        (self.said != Said::Ready).then_some(Word {
+    /// Returns the current update on the member, unless it reports it as ready.
+    fn update(&self, id: MemberId) -> Option<Word> {
+        (self.reported != ReportedState::Ready).then_some(Word {
             id,
-            life: self.life,
-            said: self.said,
+            version: self.version,
+            reported: self.reported,
         })
     }
 }
 
-/// The members known to one process, itself excluded.
+/// The members known to one process, excluding itself.
 pub(crate) struct Roster {
     me: Member,
     entries: HashMap<MemberId, Entry>,
     zone: Vec<MemberId>,
     region: Vec<MemberId>,
     far: Vec<MemberId>,
-    // Those that are not ready, for newcomers; may hold some that are ready again.
+    // Members that are not ready, from which samples for pings and their answers are taken. May
+    // hold members that have become ready again.
     unready: BTreeSet<MemberId>,
 }
 
@@ -196,7 +205,7 @@
         Some(self.entries.get(&id)?.member.as_ref()?.address)
     }
 
-    /// The members at a distance, in no order.
+    /// Members at a distance, ordered by identifier.
     pub(crate) fn group(&self, distance: Distance) -> &[MemberId] {
         match distance {
             Distance::Zone => &self.zone,
@@ -205,7 +214,7 @@
         }
     }
 
-    /// Takes in the platform's list.
+    /// Applies a new version of the platform's list of hosts.
     pub(crate) fn hosts(&mut self, now: Time, hosts: &[HostRecord]) {
         for entry in self.entries.values_mut() {
             entry.listed = false;
@@ -215,84 +224,88 @@
             let entry = self.entries.entry(id).or_insert_with(|| Entry::new(now));
             entry.listed = true;
             entry.member = Some(host.into());
-            if host.leaving && !entry.list_leaving {
-                entry.leaving_life = entry.life.incarnation;
+            if host.leaving && !entry.listed_leaving {
+                entry.leaving_incarnation = entry.version.incarnation;
             }
-            entry.list_leaving = host.leaving;
+            entry.listed_leaving = host.leaving;
         }
         self.entries.retain(|_, entry| {
-            let last = entry.heard.unwrap_or(entry.since).max(entry.since);
-            entry.listed || now < last + FORGET
+            let last = entry
+                .last_heard
+                .unwrap_or(entry.state_since)
+                .max(entry.state_since);
+            entry.listed || now < last + UNLISTED_RETENTION
         });
         self.regroup();
     }
 
-    /// Takes in a word. Returns whether it is news.
-    pub(crate) fn hear(&mut self, now: Time, word: Word) -> bool {
+    /// Applies an update. Returns whether it changed the reported state.
+    pub(crate) fn apply(&mut self, now: Time, update: Word) -> bool {
         let entry = self
             .entries
-            .entry(word.id)
+            .entry(update.id)
             .or_insert_with(|| Entry::new(now));
-        let newer = word.life > entry.life;
-        let worse = word.life == entry.life && word.said > entry.said;
+        let newer = update.version > entry.version;
+        let worse = update.version == entry.version && update.reported > entry.reported;
         if !newer && !worse {
             return false;
         }
-        let changed = entry.said != word.said;
-        let restarted = word.life.incarnation != entry.life.incarnation;
-        entry.life = word.life;
-        entry.said = word.said;
-        entry.since = now;
+        let changed = entry.reported != update.reported;
+        let restarted = update.version.incarnation != entry.version.incarnation;
+        entry.version = update.version;
+        entry.reported = update.reported;
+        entry.state_since = now;
         if restarted {
-            entry.link_silent = None;
+            entry.link_down_at = None;
         }
-        if word.said != Said::Ready {
-            self.unready.insert(word.id);
+        if update.reported != ReportedState::Ready {
+            self.unready.insert(update.id);
         }
         changed
     }
 
-    /// The newer word that this process holds, where `word` is out of date.
-    pub(crate) fn correction(&self, word: Word) -> Option<Word> {
-        let entry = self.entries.get(&word.id)?;
-        (word.life < entry.life).then_some(Word {
-            id: word.id,
-            life: entry.life,
-            said: entry.said,
+    /// Returns the newer update that this process holds if `update` is outdated.
+    pub(crate) fn correction(&self, update: Word) -> Option<Word> {
+        let entry = self.entries.get(&update.id)?;
+        (update.version < entry.version).then_some(Word {
+            id: update.id,
+            version: entry.version,
+            reported: entry.reported,
         })
     }
 
-    /// Takes in that a datagram came from a member itself. Returns whether its word is news.
-    pub(crate) fn hear_directly(&mut self, now: Time, word: Word) -> bool {
-        let news = self.hear(now, word);
-        if let Some(entry) = self.entries.get_mut(&word.id)
-            && word.life.incarnation >= entry.life.incarnation
+    /// Applies what a datagram's sender reports of itself. Returns whether it changed the reported
+    /// state.
+    pub(crate) fn apply_direct(&mut self, now: Time, update: Word) -> bool {
+        let changed = self.apply(now, update);
+        if let Some(entry) = self.entries.get_mut(&update.id)
+            && update.version.incarnation >= entry.version.incarnation
         {
-            entry.heard = Some(now.max(entry.since + Duration::from_micros(1)));
-            entry.link_silent = None;
+            entry.last_heard = Some(now.max(entry.state_since + Duration::from_micros(1)));
+            entry.link_down_at = None;
         }
-        news
+        changed
     }
 
-    /// Takes in that others reach a member and this process does not.
-    pub(crate) fn link_is_silent(&mut self, now: Time, id: MemberId) {
+    /// Records that this process cannot reach a member directly.
+    pub(crate) fn mark_link_down(&mut self, now: Time, id: MemberId) {
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.link_silent = Some(now);
+            entry.link_down_at = Some(now);
             self.unready.insert(id);
         }
     }
 
-    /// The word that stands against a member.
-    pub(crate) fn word_on(&self, id: MemberId) -> Option<Word> {
-        self.entries.get(&id)?.word(id)
+    /// Returns the current update on a member, unless it reports it as ready.
+    pub(crate) fn update_for(&self, id: MemberId) -> Option<Word> {
+        self.entries.get(&id)?.update(id)
     }
 
-    /// Up to `most` words on members that are not ready, at random.
-    pub(crate) fn unready(&mut self, most: usize, rng: &mut fastrand::Rng) -> Vec<Word> {
+    /// Returns up to `most` updates on members that are not ready, starting at a random one.
+    pub(crate) fn sample_unready(&mut self, most: usize, rng: &mut fastrand::Rng) -> Vec<Word> {
         let entries = &self.entries;
         let stands = |id: &MemberId| {
             let entry = entries.get(id);
-            entry.is_some_and(|e| e.said != Said::Ready || e.link_silent.is_some())
+            entry.is_some_and(|e| e.reported != ReportedState::Ready || e.link_down_at.is_some())
         };
         self.unready.retain(stands);
         let start = MemberId::random(rng);
@@ -300,10 +313,12 @@
             .unready
             .range(start..)
             .chain(self.unready.range(..start));
-        ids.filter_map(|id| self.word_on(*id)).take(most).collect()
+        ids.filter_map(|id| self.update_for(*id))
+            .take(most)
+            .collect()
     }
 
-    /// Whether a member may be chosen as a peer for gossip.
+    /// Whether a member can be chosen as a peer for gossip.
     pub(crate) fn is_peer(&self, now: Time, id: MemberId) -> bool {
         let state = self.get(id).map(|entry| entry.state(now));
         matches!(
@@ -312,8 +327,8 @@
         )
     }
 
-    /// The members that were suspected, or not reached, and have not been heard since.
-    pub(crate) fn missing(&self, now: Time) -> impl Iterator<Item = MemberId> {
+    /// Members that are suspected, lost or unreachable and have not been heard from since.
+    pub(crate) fn unreached(&self, now: Time) -> impl Iterator<Item = MemberId> {
         self.unready.iter().copied().filter(move |id| {
             let state = self.get(*id).map(|entry| entry.state(now));
             matches!(
@@ -323,8 +338,8 @@
         })
     }
 
-    /// The members in the availability zone of `id` that are taken to be there.
-    pub(crate) fn neighbours(&self, now: Time, id: MemberId) -> Vec<MemberId> {
+    /// Members in the availability zone of `id` that can be chosen as peers.
+    pub(crate) fn zone_peers(&self, now: Time, id: MemberId) -> Vec<MemberId> {
         let zone = |id: &MemberId| {
             let member = self.entries.get(id)?.member.as_ref()?;
             Some((&member.region, &member.zone))
@@ -336,7 +351,7 @@
             .collect()
     }
 
-    /// All members with their states.
+    /// Returns all members whose host record is known, with their states.
     pub(crate) fn views(&self, now: Time) -> Vec<MemberView> {
         let known = self.entries.values();
         let known = known.filter_map(|entry| Some((entry, entry.member.clone()?)));
@@ -365,7 +380,7 @@
                 self.far.push(*id);
             }
         }
-        // The order of a hash map differs from run to run, and picks depend on it.
+        // The iteration order of a hash map differs between runs, and random choices depend on it.
         self.zone.sort_unstable();
         self.region.sort_unstable();
         self.far.sort_unstable();
--- a/lib/tests/gossip_net.rs
+++ b/lib/tests/gossip_net.rs
@@ -1,4 +1,4 @@
-//! Membership over real sockets on loopback.
+//! Tests of membership over UDP sockets on the loopback interface.
 
 use std::time::Duration;
 
@@ -25,10 +25,11 @@
     }
 }
 
-/// Five processes talk over UDP while a stranger sends bytes to one of them. One says that it drains;
-/// the others know within two seconds, and the stranger's bytes are dropped and counted.
+/// Five processes gossip over UDP, and a socket outside the system sends bytes to one of them. When
+/// a process announces that it is draining, the others must know within two seconds, and the
+/// foreign datagram must be dropped and counted.
 #[tokio::test]
-async fn a_draining_word_crosses_real_sockets() {
+async fn draining_spreads_over_udp_sockets() {
     let mut hosts: Vec<_> = (0..5).map(host).collect();
     let clock = Clock::new();
     let mut nets = Vec::new();
@@ -44,9 +45,9 @@
         let net = net.clone();
         tokio::spawn(async move { net.run().await });
     }
-    let stranger = tokio::net::UdpSocket::bind("127.0.0.1:0").await;
-    let stranger = stranger.expect("a free port");
-    let sent = stranger.send_to(&[0; 64], hosts[1].address).await;
+    let outsider = tokio::net::UdpSocket::bind("127.0.0.1:0").await;
+    let outsider = outsider.expect("a free port");
+    let sent = outsider.send_to(&[0; 64], hosts[1].address).await;
     assert_eq!(sent.expect("loopback"), 64);
     nets[0].membership().set_draining(clock.now());
     let knows = |net: &GossipNet| {
--- a/lib/tests/membership.rs
+++ b/lib/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership over a network with delay, loss and cuts, in virtual time.
+//! Tests of membership over a simulated network with delay, loss and partitions, in virtual time.
 
 use std::time::Duration;
 
@@ -20,14 +20,14 @@
     Duration::from_secs(seconds)
 }
 
-fn mark(version: u64) -> ConfigVersionId {
+fn config_mark(version: u64) -> ConfigVersionId {
     ConfigVersionId {
         version: Version(version),
         digest: root_digest(&version.to_le_bytes()),
     }
 }
 
-// Four regions of two or three zones, as at the target, with some loss everywhere.
+// Four regions of two or three zones, as in production, with some loss on every link.
 fn net(count: usize, seed: u64) -> LossyNet {
     let mut net = LossyNet::new(count, 4, 3, seed);
     net.loss = LOSS;
@@ -35,11 +35,10 @@
     net
 }
 
-/// A backend server's host is reclaimed, and its process says that it drains. Nobody may send it new
-/// work two seconds later, though three datagrams in a hundred get lost and the platform's list does
-/// not say so yet.
+/// A process whose host is reclaimed announces that it is draining. Within two seconds every other
+/// process must know, although 3 % of the datagrams are lost and the platform's list lags.
 #[test]
-fn a_draining_word_reaches_all_within_two_seconds() {
+fn draining_reaches_all_within_two_seconds() {
     for (seed, count) in [(1, 50), (2, 100), (3, 200), (4, 1_370)] {
         let mut net = net(count, seed);
         let now = net.now();
@@ -49,10 +48,11 @@
     }
 }
 
-/// A process dies without a word. Those near it stop getting answers, ask others, and tell everyone;
-/// new work goes elsewhere within five seconds, and nobody who lives is given up for lost.
+/// A process crashes without announcing it. Its peers get no answer to their pings, probe it
+/// indirectly and spread the suspicion: within five seconds every process must see it as suspect or
+/// lost, and no live process may be considered lost.
 #[test]
-fn a_dead_host_is_found_and_no_other_is_lost() {
+fn dead_host_is_detected_and_no_other_is_lost() {
     let mut net = net(200, 5);
     net.nodes[7].up = false;
     let gone = |net: &LossyNet| {
@@ -70,10 +70,10 @@
     assert!(net.misjudged() <= 2, "{} pairs", net.misjudged());
 }
 
-/// The link between two processes goes silent both ways, for good, while both work. Neither may be
-/// taken for dead by the others, who reach them; the two avoid only each other.
+/// The link between two live processes fails permanently in both directions. The others still reach
+/// both and must not consider either one dead; only these two see each other as unreachable.
 #[test]
-fn a_silent_link_condemns_nobody() {
+fn broken_link_causes_no_suspicion_by_others() {
     let mut net = LossyNet::new(12, 1, 1, 6);
     let (a, b) = (
         net.nodes[2].host.name.clone(),
@@ -91,17 +91,18 @@
     assert!(net.nodes[2].membership.counts().silent_links > 0);
 }
 
-/// A region loses all others for a minute. Each side takes the other for lost and goes on by itself.
-/// Fifteen seconds after the links are back everyone takes new work from everyone again.
+/// A region is partitioned from all others for a minute, so each side considers the other lost.
+/// Within fifteen seconds of the partition's end, every process must see every other as ready
+/// again.
 #[test]
-fn a_region_is_cut_off_and_comes_back() {
+fn partitioned_region_rejoins() {
     let mut net = net(200, 7);
     net.cut = Box::new(|from, to| {
-        let lone = |node: &testutils::lossy_net::Node| node.host.region.as_str() == "region-1";
-        lone(from) != lone(to)
+        let isolated = |node: &testutils::lossy_net::Node| node.host.region.as_str() == "region-1";
+        isolated(from) != isolated(to)
     });
     net.run(seconds(60));
-    // Sides: one node in four is cut off; each of 50 against each of 150, twice.
+    // One node in four is cut off: 50 nodes on one side and 150 on the other, counted both ways.
     let misjudged = net.misjudged();
     assert!(misjudged > 2 * 50 * 150 * 9 / 10, "{misjudged} pairs");
     net.cut = Box::new(|_, _| false);
@@ -113,10 +114,11 @@
     assert!(together, "{} pairs", net.misjudged());
 }
 
-/// All processes of a rack restart at once: each says that it leaves, is gone for three seconds, and
-/// comes back under its name. Words on the old processes still travel; none may hit a new one.
+/// All processes of a rack restart at once: each announces that it is leaving, is down for three
+/// seconds and comes back under its name. Updates on the old processes that are still spreading
+/// must not apply to the new ones.
 #[test]
-fn a_word_on_a_predecessor_does_not_hit_its_successor() {
+fn updates_on_a_predecessor_do_not_apply_to_its_successor() {
     let mut net = net(100, 8);
     let rack: Vec<_> = (0..100).filter(|n| n % 10 == 3).collect();
     let now = net.now();
@@ -135,10 +137,10 @@
     assert!(took.is_some(), "{} pairs", net.misjudged());
 }
 
-/// A process is replaced on a host whose clock is behind that of its predecessor, which had said that
-/// it leaves. By the clocks the old word is the newer one; the new process objects and gets work.
+/// A process that announced that it is leaving is replaced by one whose clock is behind. By their
+/// incarnations the old update is the newer one, so the new process must refute it to become ready.
 #[test]
-fn a_successor_with_an_older_clock_objects() {
+fn successor_with_an_older_clock_refutes_old_updates() {
     let mut net = net(50, 9);
     let now = net.now();
     net.nodes[3].membership.set_leaving(now);
@@ -149,10 +151,10 @@
     assert!(net.nodes[3].membership.counts().objections > 0);
 }
 
-/// A process is stopped for ten seconds and goes on. All its pings are unanswered then, since it did
-/// not read the answers. It must not tell the others that everyone is dead.
+/// A process is suspended for ten seconds. When it resumes, all its pings are unanswered because it
+/// did not read the answers. It must not suspect the other processes.
 #[test]
-fn a_paused_process_condemns_nobody() {
+fn suspended_process_suspects_no_member() {
     let mut net = net(50, 10);
     net.nodes[3].up = false;
     net.run(seconds(10));
@@ -162,10 +164,11 @@
     assert_eq!(net.nodes[3].membership.counts().suspected, 0);
 }
 
-/// A process is stopped while a ping of it is under way. It wakes, reads a datagram, and then finds
-/// the ping ten seconds old: that says nothing of the other process.
+/// A process is suspended while it waits for the answer to a ping. After it resumes it receives
+/// another datagram first and then finds the ping ten seconds old. It must not suspect the ping's
+/// target.
 #[test]
-fn a_ping_that_slept_tells_nothing() {
+fn ping_outstanding_during_suspension_is_discarded() {
     let net = LossyNet::new(3, 1, 1, 16);
     let hosts: Vec<_> = net.nodes.iter().map(|node| node.host.clone()).collect();
     let mut rng = fastrand::Rng::with_seed(1);
@@ -187,7 +190,7 @@
         let at = now + Duration::from_millis(100 * n);
         other.tick(at, &mut rng).pop()
     });
-    let message = sent.expect("a beat a second").message;
+    let message = sent.expect("a heartbeat every second").message;
     membership.receive(now, hosts[1].address, message, &mut rng);
     for step in 0..20 {
         membership.tick(now + Duration::from_millis(100 * step), &mut rng);
@@ -195,32 +198,35 @@
     assert_eq!(membership.counts().suspected, 0);
 }
 
-/// One process loses its links to all others for twenty seconds. It hears nobody, so it is the one
-/// that is cut off, and must not tell everyone afterwards that they are dead.
+/// A process loses its links to all others for twenty seconds. As it receives nothing, it must
+/// conclude that it is cut off itself, and must not report the others as suspects (at most one is
+/// tolerated).
 #[test]
-fn who_hears_nobody_condemns_nobody() {
+fn isolated_process_suspects_no_member() {
     let mut net = net(50, 17);
-    let lone = net.nodes[3].host.name.clone();
-    net.cut = Box::new(move |a, b| a.host.name == lone || b.host.name == lone);
+    let isolated = net.nodes[3].host.name.clone();
+    net.cut = Box::new(move |a, b| a.host.name == isolated || b.host.name == isolated);
     net.run(seconds(20));
     let suspected = net.nodes[3].membership.counts().suspected;
     assert!(suspected <= 1, "{suspected}");
 }
 
-/// An operator's change is in force at one process, which tells the others. All 1,370 learn of it and
-/// have pulled it from one another within eleven seconds, without a call to the store.
+/// A new version of the configuration is in force at one process. All 1,370 processes must learn of
+/// it and pull it from one another within eleven seconds, without a call to the store.
 #[test]
-fn a_version_reaches_all_within_eleven_seconds() {
+fn config_version_reaches_all_within_eleven_seconds() {
     for (seed, count) in [(11, 50), (12, 1_370)] {
         let mut net = net(count, seed);
         for node in &mut net.nodes {
             node.follows = true;
         }
         let now = net.now();
-        net.nodes[0].membership.set_config(now, mark(1));
-        net.nodes[0].adopted = Some(mark(1));
+        net.nodes[0].membership.set_config(now, config_mark(1));
+        net.nodes[0].adopted = Some(config_mark(1));
         let took = net.run_until(seconds(11), |net| {
-            net.nodes.iter().all(|node| node.adopted == Some(mark(1)))
+            net.nodes
+                .iter()
+                .all(|node| node.adopted == Some(config_mark(1)))
         });
         assert!(took.is_some(), "{count} processes");
         let seen = net.nodes[count - 1].membership.best_config();
@@ -228,8 +234,8 @@
     }
 }
 
-/// Every availability zone has two processes that watch the store, also right after the
-/// watchers themselves have left.
+/// Every availability zone must have exactly two processes that watch the store, even right after
+/// its watchers have left.
 #[test]
 fn each_zone_has_watchers() {
     let mut net = net(100, 13);
@@ -254,11 +260,11 @@
     }
 }
 
-/// All processes restart within a second, as after a broken release. The words of all of them are
-/// under way at once, and those on the old ones must not stick to the new ones; no process may send
-/// more than its budget meanwhile.
+/// All processes restart within a second, as after a broken release, so updates on all of them
+/// spread at once. Updates on the old processes must not apply to the new ones, and no process may
+/// exceed its byte budget.
 #[test]
-fn a_mass_restart_stays_within_the_budget() {
+fn mass_restart_stays_within_the_budget() {
     let mut net = net(500, 14);
     net.reset_counts();
     let now = net.now();
@@ -272,12 +278,12 @@
     net.run(seconds(10));
     let most = net.nodes.iter().map(|node| node.peak).max();
     assert!(most < Some(8_000), "{most:?} bytes in a second");
-    // A link whose three datagrams in a row were lost is avoided for a second.
+    // A process that lost three pings in a row to one peer sees it as unreachable for a second.
     assert!(net.misjudged() <= 5, "{} pairs", net.misjudged());
 }
 
-/// Bytes from elsewhere arrive at the port: of another system's key, cut short, or changed. They are
-/// dropped; nobody is taken for leaving on account of them.
+/// Datagrams that are sealed with another system's key, truncated or corrupted must be rejected, so
+/// that they cannot change the state of any member.
 #[test]
 fn changed_datagrams_are_dropped() {
     let mut net = net(10, 15);
@@ -287,7 +293,10 @@
         let at = now + Duration::from_millis(100 * n);
         net.nodes[1].membership.tick(at, &mut rng).pop()
     });
-    let bytes = sent.expect("a beat a second").message.seal(&[1; 32]);
+    let bytes = sent
+        .expect("a heartbeat every second")
+        .message
+        .seal(&[1; 32]);
     assert!(Message::open(&bytes, &[1; 32]).is_ok());
     assert_eq!(Message::open(&bytes, &[2; 32]), Err(GossipError::Tag));
     assert_eq!(Message::open(&bytes[..10], &[1; 32]), Err(GossipError::Tag));
