--- a/daemon/src/hosts_controller.rs
+++ b/daemon/src/hosts_controller.rs
@@ -61,7 +61,7 @@
         let poll = self.process.settings().millis("platform", "hosts_poll");
         loop {
             if let Some(hosts) = self.read().await {
-                self.net.membership().hosts(self.clock.now(), &hosts);
+                self.net.membership().update_hosts(self.clock.now(), &hosts);
                 self.process.set_hosts(hosts);
             }
             // Spread over the interval, so that processes which started together do not ask together.
--- a/lib/src/broadcast_queue.rs
+++ b/lib/src/broadcast_queue.rs
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::gossip::MAX_WORDS;
+use crate::gossip::MAX_UPDATES;
 use crate::gossip::MemberId;
-use crate::gossip::Word;
+use crate::gossip::MemberUpdate;
 use crate::time::Time;
 
 // Copies per round: the first round is sent at once, the second a little later. If every process forwards k copies,
@@ -35,7 +35,7 @@
 const BURST_BYTES: f64 = 1_500.0;
 
 struct QueuedUpdate {
-    word: Word,
+    update: MemberUpdate,
     queued_at: Time,
     // Broadcast rounds already sent.
     rounds_sent: usize,
@@ -47,7 +47,7 @@
 /// One datagram of a broadcast round, to be sent to each of `copies` peers.
 pub(crate) struct BroadcastRound {
     pub(crate) copies: usize,
-    pub(crate) words: Vec<Word>,
+    pub(crate) updates: Vec<MemberUpdate>,
 }
 
 /// Membership updates that are being disseminated.
@@ -73,15 +73,15 @@
     }
 
     /// Queues an update, replacing an older one on the same process.
-    pub(crate) fn push(&mut self, now: Time, word: Word) {
-        let update = QueuedUpdate {
-            word,
+    pub(crate) fn push(&mut self, now: Time, update: MemberUpdate) {
+        let queued = QueuedUpdate {
+            update,
             queued_at: now,
             rounds_sent: 0,
             next_round_at: now,
             piggybacks: 0,
         };
-        self.updates.insert(word.id, update);
+        self.updates.insert(update.id, queued);
     }
 
     /// Queues a change of the process's own state, which every datagram carries anyway.
@@ -120,17 +120,20 @@
             let mut due = self.due(now, number);
             let mut carries_own = own;
             while carries_own || !due.is_empty() {
-                let bytes = |words| (copies * cost(words)) as f64;
+                let bytes = |updates| (copies * cost(updates)) as f64;
                 // Send as many as fit the budget now: waiting for a full datagram that never fits would block all.
-                let fits =
-                    (0..=due.len().min(MAX_WORDS)).rfind(|words| bytes(*words) <= self.budget);
+                let fits = (0..=due.len().min(MAX_UPDATES))
+                    .rfind(|updates| bytes(*updates) <= self.budget);
                 let Some(fits) = fits.filter(|fits| *fits > 0 || due.is_empty()) else {
                     return rounds;
                 };
                 let rest = due.split_off(fits);
                 self.budget -= bytes(fits);
                 self.advance(now, &due, carries_own);
-                rounds.push(BroadcastRound { copies, words: due });
+                rounds.push(BroadcastRound {
+                    copies,
+                    updates: due,
+                });
                 carries_own = false;
                 due = rest;
             }
@@ -149,22 +152,22 @@
     }
 
     /// Picks up to `most` updates to piggyback on a periodic datagram: those piggybacked least often so far.
-    pub(crate) fn piggyback(&mut self, most: usize) -> Vec<Word> {
+    pub(crate) fn piggyback(&mut self, most: usize) -> Vec<MemberUpdate> {
         let mut order: Vec<_> = self
             .updates
             .values()
-            .map(|u| (u.piggybacks, u.word.id))
+            .map(|u| (u.piggybacks, u.update.id))
             .collect();
         order.sort_unstable();
         order.truncate(most);
-        let mut words = Vec::with_capacity(order.len());
+        let mut updates = Vec::with_capacity(order.len());
         for (_, id) in order {
-            if let Some(update) = self.updates.get_mut(&id) {
-                update.piggybacks += 1;
-                words.push(update.word);
+            if let Some(queued) = self.updates.get_mut(&id) {
+                queued.piggybacks += 1;
+                updates.push(queued.update);
             }
         }
-        words
+        updates
     }
 
     fn refill(&mut self, now: Time) {
@@ -173,17 +176,17 @@
         self.refilled_at = now;
     }
 
-    fn due(&self, now: Time, number: usize) -> Vec<Word> {
+    fn due(&self, now: Time, number: usize) -> Vec<MemberUpdate> {
         let due = self.updates.values();
-        let due = due.filter(|update| update.rounds_sent == number && update.next_round_at <= now);
-        due.map(|update| update.word).collect()
+        let due = due.filter(|queued| queued.rounds_sent == number && queued.next_round_at <= now);
+        due.map(|queued| queued.update).collect()
     }
 
-    fn advance(&mut self, now: Time, words: &[Word], own: bool) {
-        for word in words {
-            if let Some(update) = self.updates.get_mut(&word.id) {
-                update.rounds_sent += 1;
-                update.next_round_at = now + ROUND_INTERVAL;
+    fn advance(&mut self, now: Time, updates: &[MemberUpdate], own: bool) {
+        for update in updates {
+            if let Some(queued) = self.updates.get_mut(&update.id) {
+                queued.rounds_sent += 1;
+                queued.next_round_at = now + ROUND_INTERVAL;
             }
         }
         if own {
--- a/lib/src/gossip.rs
+++ b/lib/src/gossip.rs
@@ -17,10 +17,10 @@
 pub const MAX_DATAGRAM: usize = 1_200;
 
 /// Most updates in a datagram. An update takes up to 18 bytes.
-pub const MAX_WORDS: usize = 48;
+pub const MAX_UPDATES: usize = 48;
 
 /// Bytes that the headers of IP and UDP add to a datagram.
-pub const OVERHEAD: usize = 28;
+pub const IP_UDP_HEADER_BYTES: usize = 28;
 
 const TAG_BYTES: usize = 16;
 
@@ -68,7 +68,7 @@
     }
 
     /// A report on the state of a process, made by itself or by another.
-    pub struct Word {
+    pub struct MemberUpdate {
         /// The process that the report is on.
         pub id: MemberId,
         /// Incarnation and serial of the process that the report applies to.
@@ -115,8 +115,8 @@
         pub config: Option<ConfigVersionId>,
         /// Purpose of the datagram.
         pub purpose: Purpose,
-        /// Updates on other members; at most [`MAX_WORDS`].
-        pub updates: Vec<Word>,
+        /// Updates on other members; at most [`MAX_UPDATES`].
+        pub updates: Vec<MemberUpdate>,
     }
 }
 
--- a/lib/src/gossip_net.rs
+++ b/lib/src/gossip_net.rs
@@ -12,9 +12,9 @@
 use tokio::net::UdpSocket;
 use tokio::time::MissedTickBehavior;
 
+use crate::gossip::IP_UDP_HEADER_BYTES;
 use crate::gossip::MAX_DATAGRAM;
 use crate::gossip::Message;
-use crate::gossip::OVERHEAD;
 use crate::membership::Datagram;
 use crate::membership::Membership;
 use crate::membership::TICK;
@@ -119,7 +119,7 @@
 
     fn receive(&self, from: SocketAddr, bytes: &[u8], rng: &mut fastrand::Rng) -> Vec<Datagram> {
         let counts = &self.counts;
-        let size = (bytes.len() + OVERHEAD) as u64;
+        let size = (bytes.len() + IP_UDP_HEADER_BYTES) as u64;
         counts.received_bytes.fetch_add(size, Ordering::Relaxed);
         let Ok(message) = Message::open(bytes, &self.key) else {
             counts.dropped.fetch_add(1, Ordering::Relaxed);
@@ -132,7 +132,7 @@
 
     async fn send(&self, datagram: &Datagram) {
         let bytes = datagram.message.seal(&self.key);
-        let size = (bytes.len() + OVERHEAD) as u64;
+        let size = (bytes.len() + IP_UDP_HEADER_BYTES) as u64;
         // Later datagrams make up for one that is lost or refused.
         if self.socket.send_to(&bytes, datagram.to).await.is_err() {
             self.counts.unsent.fetch_add(1, Ordering::Relaxed);
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -17,13 +17,13 @@
 use crate::broadcast_queue::BroadcastQueue;
 use crate::config_apply::ConfigVersionId;
 use crate::config_seen::NewestConfig;
+use crate::gossip::IP_UDP_HEADER_BYTES;
 use crate::gossip::MemberId;
+use crate::gossip::MemberUpdate;
 use crate::gossip::Message;
-use crate::gossip::OVERHEAD;
 use crate::gossip::Purpose;
 use crate::gossip::ReportedState;
 use crate::gossip::StateVersion;
-use crate::gossip::Word;
 use crate::peers::PingSchedule;
 use crate::platform::HostRecord;
 use crate::probes::PingOrigin;
@@ -72,7 +72,7 @@
 
 // Sizes in bytes, for the broadcast budget, of a datagram without updates (including headers) and
 // of an update.
-const EMPTY_DATAGRAM_BYTES: usize = OVERHEAD + 80;
+const EMPTY_DATAGRAM_BYTES: usize = IP_UDP_HEADER_BYTES + 80;
 const UPDATE_BYTES: usize = 14;
 
 /// A datagram to send.
@@ -152,8 +152,8 @@
     }
 
     /// Applies a new version of the platform's list of hosts.
-    pub fn hosts(&mut self, now: Time, hosts: &[HostRecord]) {
-        self.roster.hosts(now, hosts);
+    pub fn update_hosts(&mut self, now: Time, hosts: &[HostRecord]) {
+        self.roster.update_hosts(now, hosts);
     }
 
     /// Announces that this process accepts no new work. The update reaches all others within two
@@ -237,7 +237,7 @@
                     _ => Distance::Far,
                 };
                 let peer = self.roster.pick(now, distance, rng);
-                self.send(now, peer, Purpose::Update, round.words.clone(), &mut out);
+                self.send(now, peer, Purpose::Update, round.updates.clone(), &mut out);
             }
         }
         if now >= self.next_heartbeat {
@@ -262,7 +262,7 @@
             return out;
         }
         self.last_received = now;
-        let update = Word {
+        let update = MemberUpdate {
             id: message.id,
             version: message.version,
             reported: message.reported,
@@ -289,7 +289,7 @@
         }
     }
 
-    fn handle_update(&mut self, now: Time, update: Word, rng: &mut fastrand::Rng) {
+    fn handle_update(&mut self, now: Time, update: MemberUpdate, rng: &mut fastrand::Rng) {
         if update.id == self.id {
             self.refute(now, update);
         } else if self.roster.apply(now, update) {
@@ -311,7 +311,7 @@
 
     // Refutes an update that reports a worse state of this process than its own, or that is about a
     // predecessor whose clock was ahead.
-    fn refute(&mut self, now: Time, update: Word) {
+    fn refute(&mut self, now: Time, update: MemberUpdate) {
         let against = update.version == self.version && update.reported > self.reported;
         if update.version <= self.version && !against {
             if update.version.incarnation < self.version.incarnation
@@ -382,7 +382,7 @@
             }
             Purpose::Ack(nonce) => {
                 if let PingOrigin::Requester { address, nonce } = self.probes.handle_ack(nonce) {
-                    let update = Word {
+                    let update = MemberUpdate {
                         id: message.id,
                         version: message.version,
                         reported: message.reported,
@@ -448,7 +448,7 @@
         if entry.heard_since(since) {
             return;
         }
-        let update = Word {
+        let update = MemberUpdate {
             id: target,
             version: entry.version,
             reported: ReportedState::Suspect,
@@ -493,7 +493,7 @@
         &mut self,
         now: Time,
         target: Option<MemberId>,
-        updates: Vec<Word>,
+        updates: Vec<MemberUpdate>,
         out: &mut Vec<Datagram>,
         rng: &mut fastrand::Rng,
     ) {
@@ -508,7 +508,7 @@
         now: Time,
         to: Option<MemberId>,
         purpose: Purpose,
-        updates: Vec<Word>,
+        updates: Vec<MemberUpdate>,
         out: &mut Vec<Datagram>,
     ) {
         let Some(to) = to else {
@@ -527,7 +527,7 @@
         self.started.is_none_or(|at| now < at + STARTUP_PERIOD)
     }
 
-    fn message(&self, now: Time, purpose: Purpose, updates: Vec<Word>) -> Message {
+    fn message(&self, now: Time, purpose: Purpose, updates: Vec<MemberUpdate>) -> Message {
         Message {
             id: self.id,
             version: self.version,
--- a/lib/src/roster.rs
+++ b/lib/src/roster.rs
@@ -13,9 +13,9 @@
 
 use crate::copy_type;
 use crate::gossip::MemberId;
+use crate::gossip::MemberUpdate;
 use crate::gossip::ReportedState;
 use crate::gossip::StateVersion;
-use crate::gossip::Word;
 use crate::ids::Name;
 use crate::platform::HostRecord;
 use crate::platform::HostRole;
@@ -164,8 +164,8 @@
     }
 
     /// Returns the current update on the member, unless it reports it as ready.
-    fn update(&self, id: MemberId) -> Option<Word> {
-        (self.reported != ReportedState::Ready).then_some(Word {
+    fn update(&self, id: MemberId) -> Option<MemberUpdate> {
+        (self.reported != ReportedState::Ready).then_some(MemberUpdate {
             id,
             version: self.version,
             reported: self.reported,
@@ -215,7 +215,7 @@
     }
 
     /// Applies a new version of the platform's list of hosts.
-    pub(crate) fn hosts(&mut self, now: Time, hosts: &[HostRecord]) {
+    pub(crate) fn update_hosts(&mut self, now: Time, hosts: &[HostRecord]) {
         for entry in self.entries.values_mut() {
             entry.listed = false;
         }
@@ -240,7 +240,7 @@
     }
 
     /// Applies an update. Returns whether it changed the reported state.
-    pub(crate) fn apply(&mut self, now: Time, update: Word) -> bool {
+    pub(crate) fn apply(&mut self, now: Time, update: MemberUpdate) -> bool {
         let entry = self
             .entries
             .entry(update.id)
@@ -265,9 +265,9 @@
     }
 
     /// Returns the newer update that this process holds if `update` is outdated.
-    pub(crate) fn correction(&self, update: Word) -> Option<Word> {
+    pub(crate) fn correction(&self, update: MemberUpdate) -> Option<MemberUpdate> {
         let entry = self.entries.get(&update.id)?;
-        (update.version < entry.version).then_some(Word {
+        (update.version < entry.version).then_some(MemberUpdate {
             id: update.id,
             version: entry.version,
             reported: entry.reported,
@@ -276,7 +276,7 @@
 
     /// Applies what a datagram's sender reports of itself. Returns whether it changed the reported
     /// state.
-    pub(crate) fn apply_direct(&mut self, now: Time, update: Word) -> bool {
+    pub(crate) fn apply_direct(&mut self, now: Time, update: MemberUpdate) -> bool {
         let changed = self.apply(now, update);
         if let Some(entry) = self.entries.get_mut(&update.id)
             && update.version.incarnation >= entry.version.incarnation
@@ -296,12 +296,16 @@
     }
 
     /// Returns the current update on a member, unless it reports it as ready.
-    pub(crate) fn update_for(&self, id: MemberId) -> Option<Word> {
+    pub(crate) fn update_for(&self, id: MemberId) -> Option<MemberUpdate> {
         self.entries.get(&id)?.update(id)
     }
 
     /// Returns up to `most` updates on members that are not ready, starting at a random one.
-    pub(crate) fn sample_unready(&mut self, most: usize, rng: &mut fastrand::Rng) -> Vec<Word> {
+    pub(crate) fn sample_unready(
+        &mut self,
+        most: usize,
+        rng: &mut fastrand::Rng,
+    ) -> Vec<MemberUpdate> {
         let entries = &self.entries;
         let stands = |id: &MemberId| {
             let entry = entries.get(id);
--- a/lib/tests/gossip_net.rs
+++ b/lib/tests/gossip_net.rs
@@ -41,7 +41,7 @@
         nets.push(net);
     }
     for net in &nets {
-        net.membership().hosts(clock.now(), &hosts);
+        net.membership().update_hosts(clock.now(), &hosts);
         let net = net.clone();
         tokio::spawn(async move { net.run().await });
     }
--- a/lib/tests/membership.rs
+++ b/lib/tests/membership.rs
@@ -173,7 +173,7 @@
     let hosts: Vec<_> = net.nodes.iter().map(|node| node.host.clone()).collect();
     let mut rng = fastrand::Rng::with_seed(1);
     let mut membership = Membership::new(Member::from(&hosts[0]), 1);
-    membership.hosts(Time::ZERO, &hosts);
+    membership.update_hosts(Time::ZERO, &hosts);
     let mut now = Time::ZERO;
     let mut pinged = false;
     while !pinged {
@@ -185,7 +185,7 @@
     }
     now = now + seconds(10);
     let mut other = Membership::new(Member::from(&hosts[1]), 1);
-    other.hosts(now, &hosts);
+    other.update_hosts(now, &hosts);
     let sent = (0..20).find_map(|n| {
         let at = now + Duration::from_millis(100 * n);
         other.tick(at, &mut rng).pop()
--- a/lib/testutils/src/lossy_net.rs
+++ b/lib/testutils/src/lossy_net.rs
@@ -7,8 +7,8 @@
 use std::time::Instant;
 
 use cicada_lib::config_apply::ConfigVersionId;
+use cicada_lib::gossip::IP_UDP_HEADER_BYTES;
 use cicada_lib::gossip::Message;
-use cicada_lib::gossip::OVERHEAD;
 use cicada_lib::ids::Name;
 use cicada_lib::membership::Datagram;
 use cicada_lib::membership::Membership;
@@ -135,7 +135,7 @@
     pub fn list_hosts(&mut self) {
         let hosts: Vec<_> = self.nodes.iter().map(|node| node.host.clone()).collect();
         for node in &mut self.nodes {
-            node.membership.hosts(self.now, &hosts);
+            node.membership.update_hosts(self.now, &hosts);
         }
     }
 
@@ -144,7 +144,7 @@
         let hosts: Vec<_> = self.nodes.iter().map(|node| node.host.clone()).collect();
         let host = hosts[number].clone();
         self.nodes[number] = node(host, incarnation);
-        self.nodes[number].membership.hosts(self.now, &hosts);
+        self.nodes[number].membership.update_hosts(self.now, &hosts);
     }
 
     /// Lets the time pass.
@@ -282,7 +282,7 @@
                 bytes.len()
             );
             let to = usize::from(datagram.to.port()) - 10_000;
-            self.count(from, second, (bytes.len() + OVERHEAD) as u64);
+            self.count(from, second, (bytes.len() + IP_UDP_HEADER_BYTES) as u64);
             let lost = self.rng.f64() < self.loss;
             if lost || (self.cut)(&self.nodes[from], &self.nodes[to]) {
                 continue;
