--- a/relay/src/attempts.rs
+++ b/relay/src/attempts.rs
@@ -99,8 +99,8 @@
         self.sends
     }
 
-    /// Chooses the next server for a request that is expected to hold `tokens` when it ends. `admission` is given if the
-    /// request is subject to admission control.
+    /// Chooses the next server for a request that is expected to hold `tokens` when it ends. `admission` is given if
+    /// the request is subject to admission control.
     pub(crate) async fn place(
         &mut self,
         relay: &Arc<Relay>,
@@ -115,21 +115,22 @@
         let avoided: Vec<ServerKey> = self.tried.iter().chain(&self.failed).copied().collect();
         let regions = relay.table().regions_now(&call.admitted);
         let prompt = u64::from(call.head.prompt);
-        let need = |tried| PlacementRequest {
+        let request = |tried| PlacementRequest {
             tried,
             regions: &regions,
             ..PlacementRequest::new(&call.service, prompt, tokens)
         };
         let id = call.head.id.as_ref();
-        let result = match choice::place(relay, id, &need(&avoided), &call.spec, admission).await {
+        let result = match choice::place(relay, id, &request(&avoided), &call.spec, admission).await
+        {
             Err(AdmissionError::NoServer(_)) => {
-                choice::place(relay, id, &need(&self.tried), &call.spec, admission).await
+                choice::place(relay, id, &request(&self.tried), &call.spec, admission).await
             }
             result => result,
         };
         if let Err(AdmissionError::NoServer(why)) = &result {
             self.no_server_reason = Some(*why);
-            self.limit_wait = relay.shortest_limit_wait(&need(&self.tried), &call.spec);
+            self.limit_wait = relay.shortest_limit_wait(&request(&self.tried), &call.spec);
         }
         let placed = result?;
         if tokens > 0 {
--- a/relay/src/choice.rs
+++ b/relay/src/choice.rs
@@ -23,19 +23,19 @@
 pub(crate) async fn place(
     relay: &Arc<Relay>,
     id: Option<&Name>,
-    need: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     spec: &ServiceSpec,
     admission: Option<&AdmissionRequest>,
 ) -> Result<PlacedRequest, AdmissionError> {
-    let Some(id) = id.filter(|_| should_probe(relay, need)) else {
-        return relay.place(need, spec, admission);
+    let Some(id) = id.filter(|_| should_probe(relay, request)) else {
+        return relay.place(request, spec, admission);
     };
-    let mut tried = need.tried.to_vec();
+    let mut tried = request.tried.to_vec();
     let mut rejection = None;
     for round in [ProbeRound::First, ProbeRound::Second] {
         let next = PlacementRequest {
             tried: &tried,
-            ..need.clone()
+            ..request.clone()
         };
         let probed = probe_targets(relay, &next, spec, round);
         let answered = probe(relay, id, &next, &probed).await;
@@ -45,8 +45,8 @@
         };
         let next = PlacementRequest {
             among: Some(among),
-            tried: need.tried,
-            ..need.clone()
+            tried: request.tried,
+            ..request.clone()
         };
         match relay.place(&next, spec, admission) {
             Ok(placed) => return Ok(placed.with_probe_counts(probed.len(), answered.len())),
@@ -61,25 +61,25 @@
     match rejection {
         Some(rejected) => Err(AdmissionError::Rejected(rejected)),
         // All sampled engines are gone; others may still be there.
-        None => relay.place(need, spec, admission),
+        None => relay.place(request, spec, admission),
     }
 }
 
 /// Whether scouts are probed before the request is placed.
-fn should_probe(relay: &Relay, need: &PlacementRequest<'_>) -> bool {
-    let may_probe = relay.policy().ask && need.prompt > 0;
+fn should_probe(relay: &Relay, request: &PlacementRequest<'_>) -> bool {
+    let may_probe = relay.policy().ask && request.prompt > 0;
     let fleet = relay.fleet();
-    may_probe && fleet.reports_too_sparse(relay.now(), need.service, need.regions)
+    may_probe && fleet.reports_too_sparse(relay.now(), request.service, request.regions)
 }
 
 /// Draws the servers whose scouts are probed.
 fn probe_targets(
     relay: &Relay,
-    need: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     spec: &ServiceSpec,
     round: ProbeRound,
 ) -> Vec<ServerKey> {
-    let options = relay.fleet().candidates(relay.now(), need, spec);
+    let options = relay.fleet().candidates(relay.now(), request, spec);
     placement::probe_targets(round, &options, &mut fastrand::Rng::new())
 }
 
@@ -87,10 +87,10 @@
 async fn probe(
     relay: &Relay,
     id: &Name,
-    need: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     servers: &[ServerKey],
 ) -> Vec<ServerKey> {
-    let (asks, max_round_trip) = load_asks(relay, id, need, servers);
+    let (asks, max_round_trip) = load_asks(relay, id, request, servers);
     let answered = relay.load_probes().probe(asks, max_round_trip).await;
     relay
         .metrics()
@@ -104,7 +104,7 @@
 fn load_asks(
     relay: &Relay,
     id: &Name,
-    need: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     servers: &[ServerKey],
 ) -> (Vec<LoadAsk>, Duration) {
     let now = relay.now();
@@ -116,8 +116,8 @@
     let asks = records.iter().map(|record| LoadAsk {
         id: id.clone(),
         engine: record.address,
-        prompt: need.prompt,
-        tokens: need.tokens,
+        prompt: request.prompt,
+        tokens: request.tokens,
         asked: records.len() as u32,
     });
     (asks.collect(), max_round_trip)
--- a/relay/src/exchange.rs
+++ b/relay/src/exchange.rs
@@ -50,9 +50,9 @@
 const STARTUP_RETRY_AFTER: Duration = Duration::from_millis(800);
 const STARTUP_RETRY_AFTER_JITTER: Duration = Duration::from_millis(3_200);
 
-/// A draining relay rejects calls if less than this is left before it ends. If it is the only relay of its zone, callers
-/// keep arriving until the end, and calls accepted later would be cut off: a call that is retried in another region takes
-/// a quarter of a second, one that waits for a full server longer.
+/// A draining relay rejects calls if less than this is left before it ends. If it is the only relay of its zone,
+/// callers keep arriving until the end, and calls accepted later would be cut off: a call that is retried in another
+/// region takes a quarter of a second, one that waits for a full server longer.
 const MIN_TIME_FOR_CALLS: Duration = Duration::from_millis(1_300);
 
 /// Retry-after of callers that are rejected because this relay ends: they can go to another relay at once.
--- a/relay/src/placed_request.rs
+++ b/relay/src/placed_request.rs
@@ -49,15 +49,15 @@
         relay: &Arc<Relay>,
         key: ServerKey,
         record: ServerRecord,
-        need: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> Self {
         PlacedRequest {
             relay: relay.clone(),
             key,
             record,
             basis: ChoiceBasis::default(),
-            prompt: need.prompt,
-            tokens: need.tokens,
+            prompt: request.prompt,
+            tokens: request.tokens,
             started: false,
         }
     }
@@ -146,7 +146,8 @@
         self.relay.fleet().round_trip(now, &self.record.zone)
     }
 
-    /// Records a plain server's response time. Ignored if calls were waiting there, since it then includes their queueing.
+    /// Records a plain server's response time. Ignored if calls were waiting there, since it then includes their
+    /// queueing.
     pub(crate) fn record_response_time(&self, elapsed: Duration, waiting: u32) {
         if waiting == 0 {
             let now = self.relay.now();
--- a/relay/src/plain.rs
+++ b/relay/src/plain.rs
@@ -126,8 +126,8 @@
     build_own_answer(relay, call, &attempts, pause)
 }
 
-/// Retry-after of a rejected caller: short, since plain calls are short, and randomized, since many callers are rejected
-/// at the same time.
+/// Retry-after of a rejected caller: short, since plain calls are short, and randomized, since many callers are
+/// rejected at the same time.
 fn retry_delay(call: &Call) -> Duration {
     let max = (call.time_left() / 4).min(Duration::from_millis(400));
     max.mul_f64(0.25 + 0.75 * fastrand::f64())
--- a/relay/src/relay_limits.rs
+++ b/relay/src/relay_limits.rs
@@ -1,4 +1,5 @@
-//! Request rate limits that backend servers state: learned from answers and other relays, passed on, logged and counted.
+//! Request rate limits that backend servers state: learned from answers and other relays, passed on, logged and
+//! counted.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -49,10 +50,10 @@
     /// Shortest wait until a server has room that is excluded only because of its limit.
     pub(crate) fn shortest_limit_wait(
         &self,
-        need: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         spec: &ServiceSpec,
     ) -> Option<Duration> {
-        self.fleet().shortest_limit_wait(self.now(), need, spec)
+        self.fleet().shortest_limit_wait(self.now(), request, spec)
     }
 
     fn log_limit_change(&self, server: &Name, change: LimitChange, from: Option<SocketAddr>) {
--- a/relay/src/relay_places.rs
+++ b/relay/src/relay_places.rs
@@ -27,20 +27,22 @@
 use crate::relay::SentNotice;
 
 impl Relay {
-    /// Chooses a server and counts the request as sent there. If `admission` is given, the request is subject to admission
-    /// control and goes only to an engine that is not overloaded.
+    /// Chooses a server and counts the request as sent there. If `admission` is given, the request is subject to
+    /// admission control and goes only to an engine that is not overloaded.
     pub(crate) fn place(
         self: &Arc<Self>,
-        need: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         spec: &ServiceSpec,
         admission: Option<&AdmissionRequest>,
     ) -> Result<PlacedRequest, AdmissionError> {
         let now = self.now();
         let mut fleet = self.fleet();
         let key = match admission {
-            Some(admission) => stream_admission::select_engine(&fleet, now, need, spec, admission)?,
+            Some(admission) => {
+                stream_admission::select_engine(&fleet, now, request, spec, admission)?
+            }
             None => fleet
-                .choose(now, need, spec)
+                .choose(now, request, spec)
                 .map_err(AdmissionError::NoServer)?,
         };
         let record = fleet.record(key).cloned();
@@ -51,19 +53,19 @@
             report_age_ms: age.map(|age| age.as_millis() as u64),
             rate_limit: fleet.limit(key).map(RequestRate::per_second),
             exclusions: (!fleet.is_in_own_region(key))
-                .then(|| fleet.exclusions_in_own_region(now, need, spec)),
+                .then(|| fleet.exclusions_in_own_region(now, request, spec)),
             ..ChoiceBasis::default()
         };
         if let Some(admission) = admission {
-            lock(&self.retry_pacer).record_admission(now, need.service, admission.rank);
+            lock(&self.retry_pacer).record_admission(now, request.service, admission.rank);
         }
-        fleet.record_sent(now, key, need);
+        fleet.record_sent(now, key, request);
         let basis = ChoiceBasis {
             prefill_backlog: fleet.prefill_backlog(now, key),
             ..basis
         };
         drop(fleet);
-        Ok(PlacedRequest::new(self, key, record, need).with_basis(basis))
+        Ok(PlacedRequest::new(self, key, record, request).with_basis(basis))
     }
 
     /// Recently rejected requests. The lock is held for microseconds.
@@ -137,18 +139,18 @@
     pub(crate) fn place_moved(
         self: &Arc<Self>,
         engine: &EngineHere,
-        need: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> Option<PlacedRequest> {
         let now = self.now();
         let mut fleet = self.fleet();
         let key = fleet.key_for_moved_run(now, engine)?;
-        if !fleet.is_permitted_at(key, need.regions) {
+        if !fleet.is_permitted_at(key, request.regions) {
             return None;
         }
         let record = fleet.record(key).cloned()?;
-        fleet.record_sent(now, key, need);
+        fleet.record_sent(now, key, request);
         drop(fleet);
-        Some(PlacedRequest::new(self, key, record, need))
+        Some(PlacedRequest::new(self, key, record, request))
     }
 
     /// Announces a request that was sent to an engine to the engine's scout and to other relays, ahead of the engine's
--- a/relay/src/upstream.rs
+++ b/relay/src/upstream.rs
@@ -63,7 +63,7 @@
     connection: Connection,
 }
 
-/// Opens a connection to a server at the given round-round_trip time.
+/// Opens a connection to a server at the given round-trip time.
 pub(crate) async fn open(
     server: SocketAddr,
     round_trip: Duration,
