--- a/lib/src/peer_words.rs
+++ b/lib/src/peer_words.rs
@@ -1,4 +1,4 @@
-//! What relays and scouts tell each other: datagrams for what is soon old, a connection for the rest.
+//! Messages between relays and scouts: datagrams for short-lived state, a connection for the rest.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,44 +17,44 @@
 use crate::value_type;
 use crate::zone_evacuation::EvacuatedZones;
 
-/// The largest datagram: it passes every link whole.
+/// The largest datagram in bytes. It passes every link without fragmentation.
 pub const MAX_DATAGRAM: usize = 1_400;
 
 value_type! {
     /// An engine's load, as its scout knows it.
     #[derive(Default)]
     pub struct EngineLoad {
-        /// When the engine started, in milliseconds since 1970, if it says so; tells its lives apart.
+        /// When the engine started, in milliseconds since 1970, if it reports that. Distinguishes incarnations.
         pub born: Option<u64>,
-        /// Requests that wait.
+        /// Waiting requests.
         pub queued: u32,
-        /// Requests that run.
+        /// Running requests.
         pub running: u32,
-        /// Requests whose prompt is being read, or waits to be.
+        /// Requests whose prefill is under way or waiting.
         pub reading: u32,
-        /// Tokens of memory that are taken and cannot be had back.
+        /// Tokens of memory in use that cannot be reclaimed.
         pub used: u64,
-        /// Tokens that are expected at the highest point of what runs, and of what is under way there.
+        /// Expected peak, in tokens, of the running requests and those on their way to the engine.
         pub planned: u64,
-        /// Tokens of prompts that it has still to read.
+        /// Prompt tokens still to be prefilled.
         pub unread: u64,
-        /// Tokens of prompts that it reads in ten milliseconds; zero where that is not known.
+        /// Prompt tokens that it prefills in ten milliseconds; zero if unknown.
         pub reads: u32,
-        /// Tokens of memory in all.
+        /// Total memory in tokens.
         pub capacity: u64,
-        /// The part of its requests that it has failed lately, in hundredths.
+        /// Percentage of its recent requests that failed.
         pub failing: u8,
-        /// Whether it leaves.
+        /// Whether the engine is shutting down.
         pub leaving: bool,
-        /// Milliseconds for which it may be cold yet.
+        /// Milliseconds for which it may still be cold.
         pub cold: u32,
-        /// Milliseconds for which it is still there, where that is known.
+        /// Milliseconds until it is gone, if known.
         pub leaves: Option<u32>,
-        /// Milliseconds between two reports to the same listener while there is news.
+        /// Milliseconds between two reports to the same subscriber while the load changes.
         pub every: u32,
     }
 
-    /// A scout's word of its engine's load.
+    /// A scout's report of its engine's load.
     pub struct ScoutReport {
         /// The engine.
         pub here: EngineHere,
@@ -62,7 +62,7 @@
         pub load: EngineLoad,
     }
 
-    /// A scout's word that its engine is there, for relays that the directory does not tell of it.
+    /// A scout's announcement of its engine, for relays that do not learn of it from the directory.
     pub struct EngineHere {
         /// Where the engine takes requests.
         pub address: SocketAddr,
@@ -72,67 +72,67 @@
         pub zone: Name,
     }
 
-    /// Where a run goes on that a scout has moved off its engine.
+    /// Where a run continues that a scout has moved off its engine.
     pub struct MovedRun {
         /// The attempt's identifier.
         pub id: Name,
-        /// The engine that stopped it, and still holds its memory.
+        /// The engine that stopped the run and still holds its memory.
         pub source: SocketAddr,
-        /// The engine that holds the copy; `None` where none had room, and it goes on at its own.
+        /// The engine that holds the copy; `None` if no engine had room and the run continues at the source.
         pub target: Option<SocketAddr>,
-        /// What names the copy.
+        /// The handle of the copy.
         pub handle: Name,
     }
 
-    /// A relay has sent a request to an engine. For other relays, and for the engine's scout.
+    /// Announces to other relays and to the engine's scout that a relay has sent the engine a request.
     pub struct SentWord {
         /// The attempt's identifier.
         pub id: Name,
         /// Where the engine takes requests.
         pub engine: SocketAddr,
-        /// Tokens of the prompt.
+        /// Prompt length in tokens.
         pub prompt: u64,
-        /// Tokens that the request is expected to hold at its end.
+        /// Tokens that the request is expected to hold when it ends.
         pub tokens: u64,
     }
 
-    /// A relay is about to choose an engine for a request, and asks what it would meet there.
+    /// A relay's query for the current load of an engine that it considers for a request.
     pub struct LoadAsk {
         /// The attempt's identifier.
         pub id: Name,
         /// Where the engine takes requests.
         pub engine: SocketAddr,
-        /// Tokens of the prompt.
+        /// Prompt length in tokens.
         pub prompt: u64,
-        /// Tokens that the request is expected to hold at its end.
+        /// Tokens that the request is expected to hold when it ends.
         pub tokens: u64,
-        /// Engines that are asked, this one among them. Never zero.
+        /// Number of engines probed for the request, including this one. Never zero.
         pub asked: u32,
     }
 
-    /// A scout's answer to a [`LoadAsk`].
+    /// A scout's reply to a [`LoadAsk`].
     pub struct LoadAnswer {
         /// The attempt's identifier.
         pub id: Name,
-        /// The load as of now, without the request that was asked for.
+        /// The current load, without the request that the probe is for.
         pub report: ScoutReport,
     }
 
-    /// A relay's word to the other relays.
+    /// A relay's periodic message to other relays.
     pub struct RelayHello {
         /// Its availability zone.
         pub zone: Name,
-        /// Whether it watches the directory and is answered.
+        /// Whether it watches the directory and receives answers.
         pub fed: bool,
         /// The version of the configuration in force there.
         pub version: u64,
         /// The store's revision up to which it knows the backend servers.
         pub revision: Revision,
-        /// Other relays that it has heard lately, a few of them.
+        /// Some of the other relays that it has heard from recently.
         pub others: Vec<SocketAddr>,
         /// The evacuated availability zones, as it knows them.
         pub evacuated: EvacuatedZones,
-        /// The limits that backend servers name, some of the latest.
+        /// Some of the latest request limits reported by backend servers.
         pub limits: Vec<LimitReport>,
     }
 
@@ -140,34 +140,34 @@
     pub struct RunEnded {
         /// Where the engine takes requests.
         pub engine: SocketAddr,
-        /// Whether it made progress to its end.
+        /// Whether the request made progress until it ended.
         pub well: bool,
     }
 
-    /// Changes of the list of backend servers, for relays that do not watch it themselves.
+    /// Changes to the list of backend servers, for relays that do not watch it themselves.
     pub struct ServerNews {
-        /// The revision that they follow on.
+        /// The revision that the changes apply to.
         pub after: Revision,
-        /// The changes, and the revision that they lead to.
+        /// The changes and the resulting revision.
         pub changes: ServerChanges,
     }
 
-    /// A process wants an engine's reports for the next seconds.
+    /// Subscribes to an engine's reports for the next seconds.
     #[derive(Default)]
     pub struct Subscription {
         /// Engines of the same service and region, to which runs can be moved.
         pub neighbours: Vec<SocketAddr>,
-        /// The path at which the engine says under which identifier it lives, where that is known.
+        /// The engine's health path, which returns its current identifier, if known.
         pub health: Option<Name>,
-        /// Milliseconds for which the engine is cold after a start, where that is known.
+        /// Milliseconds for which the engine is cold after a start, if known.
         pub cold: Option<u32>,
-        /// The evacuated availability zones: no run is moved there.
+        /// The evacuated availability zones. No run is moved there.
         pub evacuated: EvacuatedZones,
-        /// Engines that name a limit of requests: runs are moved there last.
+        /// Engines that report a request limit. Runs are moved there last.
         pub limited: Vec<SocketAddr>,
     }
 
-    /// Under which identifier an engine lives: the directory may still name a former life.
+    /// An engine's current identifier. The directory may still list a former incarnation.
     pub struct EngineIdentity {
         /// The engine.
         pub here: EngineHere,
@@ -175,80 +175,80 @@
         pub id: Name,
     }
 
-    /// A datagram.
+    /// A datagram between relays and scouts.
     pub enum Datagram {
-        /// A relay, or a scout of the same region, wants an engine's reports.
+        /// A relay, or a scout of the same region, subscribes to an engine's reports.
         Subscribe(Subscription),
-        /// A scout says who its engine is.
+        /// A scout reports its engine's identifier.
         Identity(EngineIdentity),
         /// A scout's report.
         Report(ScoutReport),
-        /// An engine is there. Passed on by the relay that gets it.
+        /// A scout announces its engine. The receiving relay forwards it.
         Here(EngineHere),
-        /// A relay passes on that an engine is there. Passed on further by relays to which that is news.
+        /// A forwarded announcement of an engine. Relays that did not know the engine forward it again.
         HerePassedOn(EngineHere),
-        /// A run's memory is being copied, and it will stop soon; the handle is not known yet.
+        /// A run's memory is being copied and the run will stop soon. The handle is not known yet.
         Moving(MovedRun),
         /// A run was moved.
         Moved(MovedRun),
-        /// A run's stream has broken: was the run of this identifier moved?
+        /// Asks whether the run with this identifier was moved, after its stream broke.
         WasMoved(Name),
         /// The list of backend servers has changed.
         News(ServerNews),
         /// A relay has sent a request to an engine.
         Sent(SentWord),
-        /// A relay's word.
+        /// A relay's periodic message.
         Hello(RelayHello),
-        /// A relay says how a request ended at the scout's engine.
+        /// A relay reports how a request ended at the scout's engine.
         Ended(RunEnded),
-        /// A relay has turned callers away, who may come to another one.
+        /// A relay has rejected callers, who may retry at another relay.
         TurnedAway(Vec<RejectionNotice>),
-        /// A relay asks a scout for its engine's load.
+        /// A relay queries a scout for its engine's load.
         Ask(LoadAsk),
-        /// A scout's answer.
+        /// A scout's reply to such a query.
         Answer(LoadAnswer),
-        /// A relay probes the way to another process, with a number of its own.
+        /// A relay probes the network path to another process. Holds a number chosen by the relay.
         Ping(u32),
-        /// The answer, with the probe's number.
+        /// The reply to a `Ping`, with the same number.
         Pong(u32),
     }
 
-    /// A question over a connection.
+    /// A request over a connection.
     pub enum PeerQuestion {
-        /// The configuration, if it is newer than the version.
+        /// Requests the configuration if it is newer than the version.
         Config(u64),
-        /// What has changed of the backend servers after the revision, or all of them.
+        /// Requests the changes to the backend servers since the revision, or the full list.
         Servers(Revision),
     }
 }
 
-/// The answer to a [`PeerQuestion`].
+/// The response to a [`PeerQuestion`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum PeerAnswer {
-    /// There is nothing newer.
+    /// The requester is up to date.
     Nothing,
     /// The configuration.
     Config(Arc<SiteConfig>),
-    /// The backend servers.
+    /// The full list of backend servers.
     Servers(ServerListing),
-    /// What has changed of the backend servers.
+    /// Changes to the list of backend servers.
     Changes(ServerChanges),
 }
 
-/// Bytes that hold none of these words.
+/// A message that cannot be encoded or decoded.
 #[derive(Clone, Debug, Error)]
 #[error("a message of another process cannot be read ({0}); run the same version everywhere")]
 pub struct WordError(String);
 
-/// The result of reading or writing a word.
+/// The result of encoding or decoding a message.
 pub type Result<T> = std::result::Result<T, WordError>;
 
-/// The bytes of a word.
-pub fn encode<T: Serialize>(word: &T) -> Result<Vec<u8>> {
-    postcard::to_stdvec(word).map_err(|error| WordError(error.to_string()))
+/// Encodes a message.
+pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>> {
+    postcard::to_stdvec(message).map_err(|error| WordError(error.to_string()))
 }
 
-/// The word in the bytes.
+/// Decodes a message.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T> {
     postcard::from_bytes(bytes).map_err(|error| WordError(error.to_string()))
 }
