--- a/daemon/tests/relay_path.rs
+++ b/daemon/tests/relay_path.rs
@@ -1,4 +1,4 @@
-//! The whole path through a relay: a caller's request to a backend server and back.
+//! The path of a request through a relay, from the caller to a backend server and back.
 
 use std::path::Path;
 use std::time::Duration;
@@ -24,11 +24,11 @@
 async fn a_stream_comes_whole_and_in_order() -> Result<()> {
     let deployment = Deployment::start(daemon(), 1, 2, 0).await?;
     let relay = deployment.relays[0].callers;
-    let heard = Ask::stream("draft-1", KEY, 500, 40).send(relay).await?;
-    assert_eq!(heard.status, StatusCode::OK);
-    assert!(heard.whole);
-    assert_eq!(heard.events("draft-1")?, (1..=40).collect::<Vec<u64>>());
-    assert_eq!(heard.headers[headers::SIGNATURE], "seal-draft-1");
+    let response = Ask::stream("draft-1", KEY, 500, 40).send(relay).await?;
+    assert_eq!(response.status, StatusCode::OK);
+    assert!(response.whole);
+    assert_eq!(response.events("draft-1")?, (1..=40).collect::<Vec<u64>>());
+    assert_eq!(response.headers[headers::SIGNATURE], "seal-draft-1");
     let arrivals = deployment
         .engines
         .iter()
@@ -44,13 +44,13 @@
     let relay = deployment.relays[0].callers;
     let ask =
         Ask::new("POST", "/deposits/font%202?day=3", "deposit-1", KEY).with_body(b"twelve bytes");
-    let heard = ask.send(relay).await?;
-    assert_eq!(heard.status, StatusCode::OK);
-    assert_eq!(&heard.body[..], b"POST /deposits/font%202?day=3 12");
-    let heard = Ask::new("GET", "/slots/7", "slot-1", KEY)
+    let response = ask.send(relay).await?;
+    assert_eq!(response.status, StatusCode::OK);
+    assert_eq!(&response.body[..], b"POST /deposits/font%202?day=3 12");
+    let response = Ask::new("GET", "/slots/7", "slot-1", KEY)
         .send(relay)
         .await?;
-    assert_eq!(&heard.body[..], b"GET /slots/7 0");
+    assert_eq!(&response.body[..], b"GET /slots/7 0");
     let ran = deployment.services[0].0.ran();
     let expected = ["deposit-1", "slot-1"].map(|id| (id.to_string(), WORKSPACE.to_string()));
     assert_eq!(ran, expected);
@@ -95,9 +95,9 @@
     Ok(())
 }
 
-/// A caller sets headers that are the system's to set, and lists a header of the protocol as one that
-/// concerns its connection only. Passed on, the first would give it another caller's memory; without
-/// the second the engine would run something else than was asked.
+/// A caller sets headers that only the system may set, and names a header of the protocol in `connection` so that it
+/// is dropped as hop-by-hop. Forwarding the former would give the caller another caller's memory; dropping the latter
+/// would make the engine run something other than what was requested.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_cannot_speak_for_the_system() -> Result<()> {
     let deployment = Deployment::start(daemon(), 1, 1, 0).await?;
@@ -106,16 +106,17 @@
         .with_header(headers::WORKSPACE, "another")
         .with_header(headers::EXPECTED, "another")
         .with_header("connection", headers::COUNTS);
-    let heard = ask.send(deployment.relays[0].callers).await?;
-    assert_eq!(heard.events("draft-1")?.len(), 5);
+    let response = ask.send(deployment.relays[0].callers).await?;
+    assert_eq!(response.events("draft-1")?.len(), 5);
     let arrivals = deployment.engines[0].engine.arrivals();
     assert!(!arrivals[0].resumed);
     assert_eq!(arrivals[0].workspace, WORKSPACE);
     Ok(())
 }
 
-/// A request has both a length and chunks. Read by its length it ends after the chunks; read by its
-/// chunks, what follows them is a request of its own, which would run in the caller's name.
+/// Guards against request smuggling: a request has both `content-length` and chunked encoding. Parsed by its length,
+/// the body includes the hidden request; parsed by its chunks, the hidden request follows as a separate one and would
+/// run in the caller's name.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_hidden_in_another_does_not_run() -> Result<()> {
     let deployment = Deployment::start(daemon(), 1, 0, 1).await?;
@@ -175,7 +176,7 @@
     let deployment = Deployment::start(daemon(), 1, 0, 1).await?;
     deployment.services[0].0.set_mode(Mode::Slow(20_000));
     let ask = Ask::new("POST", "/deposits/1", "slow", KEY);
-    let heard = ask.send(deployment.relays[0].callers).await?;
-    assert_eq!(heard.status, StatusCode::GATEWAY_TIMEOUT);
+    let response = ask.send(deployment.relays[0].callers).await?;
+    assert_eq!(response.status, StatusCode::GATEWAY_TIMEOUT);
     Ok(())
 }
--- a/daemon/tests/relay_pull.rs
+++ b/daemon/tests/relay_pull.rs
@@ -1,4 +1,4 @@
-//! What a relay takes over from another one, which the test plays.
+//! State that a relay pulls from a peer, which the test simulates.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -28,77 +28,77 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// The port of all relays' words.
-const PEER: u16 = 7_200;
+/// The port on which all relays exchange messages.
+const PEER_PORT: u16 = 7_200;
 
-/// The longest wait for something that takes a moment. It judges no speed.
+/// Upper bound of a wait for a condition that normally holds within moments. It asserts no speed.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// A revision that the store does not reach.
-const AHEAD: u64 = 1_000;
+/// A revision that the store never reaches.
+const FUTURE_REVISION: u64 = 1_000;
 
-/// An address in the relay's network that no process of the deployment has.
-fn beside(relay: SocketAddr) -> SocketAddr {
+/// An address in the relay's network that no process of the deployment uses.
+fn unused_address(relay: SocketAddr) -> SocketAddr {
     let IpAddr::V4(ip) = relay.ip() else {
-        unreachable!("relays stand on the loopback");
+        unreachable!("relays listen on IPv4 loopback addresses");
     };
     let [first, second, third, _] = ip.octets();
-    SocketAddr::new(Ipv4Addr::new(first, second, third, 252).into(), PEER)
+    SocketAddr::new(Ipv4Addr::new(first, second, third, 252).into(), PEER_PORT)
 }
 
-/// Another relay, which says that it knows more than the one at the address.
+/// A simulated peer that claims a newer revision than the relay under test.
 struct Peer {
-    words: UdpSocket,
-    questions: TcpListener,
+    datagrams: UdpSocket,
+    requests: TcpListener,
     relay: SocketAddr,
 }
 
 impl Peer {
     async fn start(relay: SocketAddr) -> Result<Self> {
-        let own = beside(relay);
+        let own = unused_address(relay);
         Ok(Peer {
-            words: UdpSocket::bind(own).await?,
-            questions: TcpListener::bind(own).await?,
-            relay: SocketAddr::new(relay.ip(), PEER),
+            datagrams: UdpSocket::bind(own).await?,
+            requests: TcpListener::bind(own).await?,
+            relay: SocketAddr::new(relay.ip(), PEER_PORT),
         })
     }
 
-    /// The relay's question, once it has asked.
-    async fn asked(&self) -> Result<TcpStream> {
+    /// Announces the newer revision, and returns the connection on which the relay has sent its request.
+    async fn accept_request(&self) -> Result<TcpStream> {
         let hello = RelayHello {
             zone: Name::new("a"),
             fed: false,
             version: 0,
-            revision: Revision::new(0, AHEAD),
+            revision: Revision::new(0, FUTURE_REVISION),
             others: Vec::new(),
             evacuated: EvacuatedZones::default(),
             limits: Vec::new(),
         };
-        let word = peer_words::encode(&Datagram::Hello(hello))?;
-        self.words.send_to(&word, self.relay).await?;
-        let (mut stream, _) = self.questions.accept().await?;
+        let message = peer_words::encode(&Datagram::Hello(hello))?;
+        self.datagrams.send_to(&message, self.relay).await?;
+        let (mut stream, _) = self.requests.accept().await?;
         let length = stream.read_u32().await?;
         stream.read_exact(&mut vec![0; length as usize]).await?;
         Ok(stream)
     }
 }
 
-async fn answer(mut stream: TcpStream, answer: &PeerAnswer) -> Result<()> {
-    let bytes = peer_words::encode(answer)?;
+async fn send_response(mut stream: TcpStream, response: &PeerAnswer) -> Result<()> {
+    let bytes = peer_words::encode(response)?;
     stream.write_u32(u32::try_from(bytes.len())?).await?;
     stream.write_all(&bytes).await?;
     Ok(())
 }
 
-/// The place of the service that runs a request.
-async fn place(deployment: &Deployment, id: &str) -> Result<Option<usize>> {
+/// Sends a request, and returns the index of the service that ran it, if any.
+async fn serving_index(deployment: &Deployment, id: &str) -> Result<Option<usize>> {
     let ask = Ask::new("GET", "/slots/7", id, KEY);
     ask.send(deployment.relays[0].callers).await?;
     let mut services = deployment.services.iter();
     Ok(services.position(|(service, _)| service.ran().iter().any(|(ran, _)| ran == id)))
 }
 
-/// Guards against a server that has left, and is used again since another relay's older list came late.
+/// Guards against a removed server that is used again because an older list from another relay arrives late.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_list_that_comes_late_undoes_no_later_change() -> Result<()> {
     let daemon = Path::new(env!("CARGO_BIN_EXE_cicadad"));
@@ -123,19 +123,19 @@
         revision: Revision::new(0, 1),
     };
     let peer = Peer::start(deployment.relays[0].callers).await?;
-    let question = peer.asked().await?;
+    let request = peer.accept_request().await?;
     deployment
         .store
         .remove("servers", deployment.services[0].0.id());
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut number = 0;
-    while place(&deployment, &format!("left-{number}")).await? != Some(1) {
-        assert!(begun.elapsed() < PATIENCE, "the server is still used");
+    while serving_index(&deployment, &format!("left-{number}")).await? != Some(1) {
+        assert!(started.elapsed() < PATIENCE, "the server is still used");
         number += 1;
     }
-    answer(question, &PeerAnswer::Servers(listing)).await?;
+    send_response(request, &PeerAnswer::Servers(listing)).await?;
     for number in 0..40 {
-        let at = place(&deployment, &format!("late-{number}")).await?;
+        let at = serving_index(&deployment, &format!("late-{number}")).await?;
         assert_eq!(at, Some(1), "{}", deployment.relays[0].process.log());
         sleep(Duration::from_millis(20)).await;
     }
--- a/daemon/tests/relay_soak.rs
+++ b/daemon/tests/relay_soak.rs
@@ -1,4 +1,4 @@
-//! Short runs of the soak: relays and scouts under overlapping faults keep every promise.
+//! Short soak runs: relays and scouts must keep all guarantees under overlapping faults.
 
 use std::path::Path;
 use std::time::Duration;
@@ -6,11 +6,12 @@
 use cicada_standins::soak;
 use eyre::Result;
 
-const LENGTH: Duration = Duration::from_secs(8);
+/// Duration of a soak run.
+const DURATION: Duration = Duration::from_secs(8);
 
-async fn promises_hold(seed: u64) -> Result<()> {
+async fn assert_guarantees_hold(seed: u64) -> Result<()> {
     let daemon = Path::new(env!("CARGO_BIN_EXE_cicadad"));
-    let report = soak::run(daemon, seed, LENGTH).await?;
+    let report = soak::run(daemon, seed, DURATION).await?;
     assert!(!report.faults.is_empty());
     assert!(
         report.broken.is_empty(),
@@ -29,17 +30,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn seed_1_keeps_every_promise() -> Result<()> {
-    promises_hold(1).await
+async fn seed_1_keeps_all_guarantees() -> Result<()> {
+    assert_guarantees_hold(1).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn seed_2_keeps_every_promise() -> Result<()> {
-    promises_hold(2).await
+async fn seed_2_keeps_all_guarantees() -> Result<()> {
+    assert_guarantees_hold(2).await
 }
 
 #[test]
 fn a_seed_gives_the_same_schedule() {
-    assert_eq!(soak::schedule(7, LENGTH), soak::schedule(7, LENGTH));
-    assert_ne!(soak::schedule(7, LENGTH), soak::schedule(8, LENGTH));
+    assert_eq!(soak::schedule(7, DURATION), soak::schedule(7, DURATION));
+    assert_ne!(soak::schedule(7, DURATION), soak::schedule(8, DURATION));
 }
