--- a/daemon/src/peer_ask.rs
+++ b/daemon/src/peer_ask.rs
@@ -18,8 +18,8 @@
 use cicada_lib::suspects::CrashMark;
 use cicada_lib::wire::ConfigParts;
 use cicada_lib::wire::MAX_FRAME;
-use cicada_lib::wire::PeerAnswer;
 use cicada_lib::wire::PeerAsk;
+use cicada_lib::wire::PeerResponse;
 use cicada_lib::wire::Result;
 use cicada_lib::wire::ToAgent;
 use cicada_lib::wire::WireError;
@@ -30,20 +30,20 @@
 use crate::status::Process;
 
 /// The answer of this process.
-pub(crate) fn answer(process: &Process, sink: &dyn MarkSink, ask: &PeerAsk) -> PeerAnswer {
+pub(crate) fn answer(process: &Process, sink: &dyn MarkSink, ask: &PeerAsk) -> PeerResponse {
     match ask {
         PeerAsk::Marks(marks) => {
             sink.learn(marks);
-            PeerAnswer::Taken
+            PeerResponse::Taken
         }
         PeerAsk::Hosts { held } => {
             let hosts = process.hosts();
             let differs = digest(&hosts) != *held;
-            PeerAnswer::Hosts(differs.then(|| hosts.as_ref().clone()))
+            PeerResponse::Hosts(differs.then(|| hosts.as_ref().clone()))
         }
         PeerAsk::Config { mark, held } => {
             let loaded = process.config().filter(|loaded| mark_of(loaded) == *mark);
-            PeerAnswer::Config(loaded.map(|loaded| parts_for(&loaded, held)))
+            PeerResponse::Config(loaded.map(|loaded| parts_for(&loaded, held)))
         }
     }
 }
@@ -83,7 +83,7 @@
         mark: mark.clone(),
         held: parts.chunks.keys().copied().collect(),
     };
-    let PeerAnswer::Config(Some(found)) = exchange(peer, settings, ask).await? else {
+    let PeerResponse::Config(Some(found)) = exchange(peer, settings, ask).await? else {
         return Ok(None);
     };
     parts.root = found.root.into();
@@ -115,7 +115,7 @@
 ) -> Result<Option<Vec<HostRecord>>> {
     let ask = PeerAsk::Hosts { held: digest(held) };
     match exchange(peer, settings, ask).await? {
-        PeerAnswer::Hosts(hosts) => Ok(hosts),
+        PeerResponse::Hosts(hosts) => Ok(hosts),
         _ => Err(WireError::Foreign),
     }
 }
@@ -130,7 +130,7 @@
     Ok(())
 }
 
-async fn exchange(peer: SocketAddr, settings: &LinkSettings, ask: PeerAsk) -> Result<PeerAnswer> {
+async fn exchange(peer: SocketAddr, settings: &LinkSettings, ask: PeerAsk) -> Result<PeerResponse> {
     let connecting = link::connect(peer, settings);
     let (mut stream, _) = within(settings.connect_time, connecting).await?;
     handshake::write(&mut stream, &ToAgent::Ask(ask)).await?;
--- a/daemon/src/scout_role.rs
+++ b/daemon/src/scout_role.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cicada_lib::daemon_settings::Settings;
-use cicada_lib::peer_words::EngineHere;
+use cicada_lib::peer_messages::EngineLocation;
 use cicada_platform::HttpEngines;
 use cicada_relay::Scout;
 use eyre::Context;
@@ -26,7 +26,7 @@
     let peer = peer.ok_or_eyre("[process] peer is missing")?;
     let engine = settings.address("backend", "address");
     let engine = engine.ok_or_eyre("[backend] address is missing")?;
-    let here = EngineHere {
+    let here = EngineLocation {
         address: engine,
         service: settings.name("backend", "service"),
         zone: settings.name("process", "zone"),
--- a/daemon/tests/relay_pull.rs
+++ b/daemon/tests/relay_pull.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words;
-use cicada_lib::peer_words::Datagram;
-use cicada_lib::peer_words::PeerAnswer;
-use cicada_lib::peer_words::RelayHello;
+use cicada_lib::peer_messages;
+use cicada_lib::peer_messages::Datagram;
+use cicada_lib::peer_messages::PeerResponse;
+use cicada_lib::peer_messages::RelayHello;
 use cicada_lib::revision::Revision;
 use cicada_lib::site::ServerListing;
 use cicada_lib::site::ServerPhase;
@@ -67,14 +67,14 @@
     async fn accept_request(&self) -> Result<TcpStream> {
         let hello = RelayHello {
             zone: Name::new("a"),
-            fed: false,
+            watches_directory: false,
             version: 0,
             revision: Revision::new(0, FUTURE_REVISION),
-            others: Vec::new(),
+            known_relays: Vec::new(),
             evacuated: EvacuatedZones::default(),
             limits: Vec::new(),
         };
-        let message = peer_words::encode(&Datagram::Hello(hello))?;
+        let message = peer_messages::encode(&Datagram::Hello(hello))?;
         self.datagrams.send_to(&message, self.relay).await?;
         let (mut stream, _) = self.requests.accept().await?;
         let length = stream.read_u32().await?;
@@ -83,8 +83,8 @@
     }
 }
 
-async fn send_response(mut stream: TcpStream, response: &PeerAnswer) -> Result<()> {
-    let bytes = peer_words::encode(response)?;
+async fn send_response(mut stream: TcpStream, response: &PeerResponse) -> Result<()> {
+    let bytes = peer_messages::encode(response)?;
     stream.write_u32(u32::try_from(bytes.len())?).await?;
     stream.write_all(&bytes).await?;
     Ok(())
@@ -133,7 +133,7 @@
         assert!(started.elapsed() < PATIENCE, "the server is still used");
         number += 1;
     }
-    send_response(request, &PeerAnswer::Servers(listing)).await?;
+    send_response(request, &PeerResponse::Servers(listing)).await?;
     for number in 0..40 {
         let at = serving_index(&deployment, &format!("late-{number}")).await?;
         assert_eq!(at, Some(1), "{}", deployment.relays[0].process.log());
--- a/lib/src/engine_load_tracker.rs
+++ b/lib/src/engine_load_tracker.rs
@@ -24,8 +24,8 @@
 use crate::memory_plan::Footprint;
 use crate::memory_plan::MemoryPlan;
 use crate::move_plan;
-use crate::peer_words::LoadAsk;
-use crate::peer_words::SentWord;
+use crate::peer_messages::LoadProbe;
+use crate::peer_messages::RequestSent;
 use crate::prefill_rate::PrefillRate;
 use crate::time::Time;
 
@@ -114,15 +114,15 @@
     }
 
     /// Records a request that a relay has sent.
-    pub fn record_sent(&mut self, now: Time, announced: &SentWord) {
+    pub fn record_sent(&mut self, now: Time, announced: &RequestSent) {
         let request = TrackedRequest::new(now, announced.prompt, announced.tokens, Stage::Sent);
         self.requests.insert(announced.id.clone(), request);
     }
 
     /// Reserves capacity for a request that a relay probes for and may send. Each of the probed engines reserves an
     /// equal part of it.
-    pub fn reserve(&mut self, now: Time, ask: &LoadAsk) {
-        let engines = u64::from(ask.asked.max(1));
+    pub fn reserve(&mut self, now: Time, ask: &LoadProbe) {
+        let engines = u64::from(ask.probed_engines.max(1));
         let (prompt, tokens) = (ask.prompt / engines, ask.tokens / engines);
         let reservation = TrackedRequest::new(now, prompt, tokens, Stage::Reserved);
         self.requests.entry(ask.id.clone()).or_insert(reservation);
--- a/lib/src/fleet_news.rs
+++ b/lib/src/fleet_news.rs
@@ -9,8 +9,8 @@
 use crate::fleet_server::Report;
 use crate::fleet_server::Server;
 use crate::ids::Name;
-use crate::peer_words::EngineHere;
-use crate::peer_words::EngineLoad;
+use crate::peer_messages::EngineLoad;
+use crate::peer_messages::EngineLocation;
 use crate::prefill_rate;
 use crate::routing::ServerKey;
 use crate::site::ServerPhase;
@@ -20,7 +20,7 @@
 impl Fleet {
     /// Applies a scout's announcement of its engine; returns whether the engine is new. It is used
     /// without an identifier until the list has it: only the list holds the engine's own.
-    pub fn add_announced(&mut self, now: Time, here: &EngineHere) -> bool {
+    pub fn add_announced(&mut self, now: Time, here: &EngineLocation) -> bool {
         if self.key_at(here.address).is_some() {
             return false;
         }
@@ -32,7 +32,7 @@
     /// Applies the engine identifier that a scout reports; returns whether it is new. The list may name a
     /// previous incarnation at the address, which has then ended. If the list has no server at the
     /// address, the report is ignored: the engine may be leaving without having announced it.
-    pub fn apply_identity(&mut self, now: Time, here: &EngineHere, id: &Name) -> bool {
+    pub fn apply_identity(&mut self, now: Time, here: &EngineLocation, id: &Name) -> bool {
         let Some(key) = self.key_at(here.address) else {
             return false;
         };
@@ -48,7 +48,7 @@
     /// The key of the engine to which a scout has moved a run. Scouts know engines that this entry does
     /// not: such an engine gets only this run until the list has it. `None` if a server at the address was
     /// removed from the list: it may be that engine.
-    pub fn key_for_moved_run(&mut self, now: Time, engine: &EngineHere) -> Option<ServerKey> {
+    pub fn key_for_moved_run(&mut self, now: Time, engine: &EngineLocation) -> Option<ServerKey> {
         if let Some(key) = self.key_at(engine.address) {
             return Some(key);
         }
@@ -78,7 +78,7 @@
     }
 
     /// Applies a load report; returns whether it is the first sign that the engine is leaving.
-    pub fn apply_report(&mut self, now: Time, engine: &EngineHere, load: &EngineLoad) -> bool {
+    pub fn apply_report(&mut self, now: Time, engine: &EngineLocation, load: &EngineLoad) -> bool {
         let address = engine.address;
         if self.key_at(address).is_none() {
             self.add_observed(now, engine);
@@ -102,15 +102,15 @@
         }
         server.report = Some(Report {
             received_at: now,
-            peak_tokens: load.planned.max(load.used),
-            prefill_tokens: load.unread,
-            prefill_rate: match load.reads {
+            peak_tokens: load.peak_tokens.max(load.used),
+            prefill_tokens: load.prefill_tokens,
+            prefill_rate: match load.prefill_rate {
                 0 => prefill_rate::PRIOR,
                 rate => f64::from(rate) / 10.0,
             },
             requests: load.running + load.queued,
-            failure_rate: f64::from(load.failing) / 100.0,
-            interval: Duration::from_millis(u64::from(load.every)),
+            failure_rate: f64::from(load.failure_percent) / 100.0,
+            interval: Duration::from_millis(u64::from(load.interval_ms)),
         });
         server
             .cold
@@ -124,7 +124,12 @@
 
     /// Applies a scout's answer to a load query; returns whether it is the first sign that the engine is
     /// leaving. The answer includes all requests sent to the engine, also those of this entry.
-    pub fn apply_load_answer(&mut self, now: Time, engine: &EngineHere, load: &EngineLoad) -> bool {
+    pub fn apply_load_answer(
+        &mut self,
+        now: Time,
+        engine: &EngineLocation,
+        load: &EngineLoad,
+    ) -> bool {
         let started_leaving = self.apply_report(now, engine, load);
         if let Some(key) = self.key_at(engine.address) {
             self.servers[key].unreported.clear();
@@ -183,7 +188,7 @@
 
     /// Adds an engine that a request has found at an address and whose scout has reported it, before the
     /// list has it.
-    fn add_observed(&mut self, now: Time, engine: &EngineHere) {
+    fn add_observed(&mut self, now: Time, engine: &EngineLocation) {
         let Some(id) = self.incarnations.observed_at(now, engine.address) else {
             return;
         };
@@ -195,7 +200,7 @@
 }
 
 /// The record of an engine that is not in the list.
-fn unlisted_record(id: Name, engine: &EngineHere) -> ServerRecord {
+fn unlisted_record(id: Name, engine: &EngineLocation) -> ServerRecord {
     ServerRecord {
         id,
         service: engine.service.clone(),
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -71,7 +71,7 @@
 pub mod order;
 pub mod orders;
 pub mod outcome;
-pub mod peer_words;
+pub mod peer_messages;
 pub mod placement;
 pub mod platform;
 pub mod platform_http;
--- a/lib/src/peer_words.rs
+++ b/lib/src/peer_messages.rs
@@ -31,19 +31,19 @@
         /// Running requests.
         pub running: u32,
         /// Requests whose prefill is under way or waiting.
-        pub reading: u32,
+        pub prefilling: u32,
         /// Tokens of memory in use that cannot be reclaimed.
         pub used: u64,
         /// Expected peak, in tokens, of the running requests and those on their way to the engine.
-        pub planned: u64,
+        pub peak_tokens: u64,
         /// Prompt tokens still to be prefilled.
-        pub unread: u64,
+        pub prefill_tokens: u64,
         /// Prompt tokens that it prefills in ten milliseconds; zero if unknown.
-        pub reads: u32,
+        pub prefill_rate: u32,
         /// Total memory in tokens.
         pub capacity: u64,
         /// Percentage of its recent requests that failed.
-        pub failing: u8,
+        pub failure_percent: u8,
         /// Whether the engine is shutting down.
         pub leaving: bool,
         /// Milliseconds for which it may still be cold.
@@ -51,19 +51,19 @@
         /// Milliseconds until it is gone, if known.
         pub leaves: Option<u32>,
         /// Milliseconds between two reports to the same subscriber while the load changes.
-        pub every: u32,
+        pub interval_ms: u32,
     }
 
     /// A scout's report of its engine's load.
     pub struct ScoutReport {
         /// The engine.
-        pub here: EngineHere,
+        pub engine: EngineLocation,
         /// Its load.
         pub load: EngineLoad,
     }
 
     /// A scout's announcement of its engine, for relays that do not learn of it from the directory.
-    pub struct EngineHere {
+    pub struct EngineLocation {
         /// Where the engine takes requests.
         pub address: SocketAddr,
         /// Its service.
@@ -85,7 +85,7 @@
     }
 
     /// Announces to other relays and to the engine's scout that a relay has sent the engine a request.
-    pub struct SentWord {
+    pub struct RequestSent {
         /// The attempt's identifier.
         pub id: Name,
         /// Where the engine takes requests.
@@ -97,7 +97,7 @@
     }
 
     /// A relay's query for the current load of an engine that it considers for a request.
-    pub struct LoadAsk {
+    pub struct LoadProbe {
         /// The attempt's identifier.
         pub id: Name,
         /// Where the engine takes requests.
@@ -107,11 +107,11 @@
         /// Tokens that the request is expected to hold when it ends.
         pub tokens: u64,
         /// Number of engines probed for the request, including this one. Never zero.
-        pub asked: u32,
+        pub probed_engines: u32,
     }
 
-    /// A scout's reply to a [`LoadAsk`].
-    pub struct LoadAnswer {
+    /// A scout's reply to a [`LoadProbe`].
+    pub struct LoadProbeReply {
         /// The attempt's identifier.
         pub id: Name,
         /// The current load, without the request that the probe is for.
@@ -123,13 +123,13 @@
         /// Its availability zone.
         pub zone: Name,
         /// Whether it watches the directory and receives answers.
-        pub fed: bool,
+        pub watches_directory: bool,
         /// The version of the configuration in force there.
         pub version: u64,
         /// The store's revision up to which it knows the backend servers.
         pub revision: Revision,
         /// Some of the other relays that it has heard from recently.
-        pub others: Vec<SocketAddr>,
+        pub known_relays: Vec<SocketAddr>,
         /// The evacuated availability zones, as it knows them.
         pub evacuated: EvacuatedZones,
         /// Some of the latest request limits reported by backend servers.
@@ -137,15 +137,15 @@
     }
 
     /// How a request ended at an engine.
-    pub struct RunEnded {
+    pub struct RequestOutcome {
         /// Where the engine takes requests.
         pub engine: SocketAddr,
         /// Whether the request made progress until it ended.
-        pub well: bool,
+        pub succeeded: bool,
     }
 
     /// Changes to the list of backend servers, for relays that do not watch it themselves.
-    pub struct ServerNews {
+    pub struct ServerUpdate {
         /// The revision that the changes apply to.
         pub after: Revision,
         /// The changes and the resulting revision.
@@ -170,7 +170,7 @@
     /// An engine's current identifier. The directory may still list a former incarnation.
     pub struct EngineIdentity {
         /// The engine.
-        pub here: EngineHere,
+        pub engine: EngineLocation,
         /// Its identifier.
         pub id: Name,
     }
@@ -184,29 +184,29 @@
         /// A scout's report.
         Report(ScoutReport),
         /// A scout announces its engine. The receiving relay forwards it.
-        Here(EngineHere),
+        Announcement(EngineLocation),
         /// A forwarded announcement of an engine. Relays that did not know the engine forward it again.
-        HerePassedOn(EngineHere),
+        ForwardedAnnouncement(EngineLocation),
         /// A run's memory is being copied and the run will stop soon. The handle is not known yet.
         Moving(MovedRun),
         /// A run was moved.
         Moved(MovedRun),
         /// Asks whether the run with this identifier was moved, after its stream broke.
-        WasMoved(Name),
+        QueryMove(Name),
         /// The list of backend servers has changed.
-        News(ServerNews),
+        ServerUpdate(ServerUpdate),
         /// A relay has sent a request to an engine.
-        Sent(SentWord),
+        RequestSent(RequestSent),
         /// A relay's periodic message.
         Hello(RelayHello),
         /// A relay reports how a request ended at the scout's engine.
-        Ended(RunEnded),
+        RequestOutcome(RequestOutcome),
         /// A relay has rejected callers, who may retry at another relay.
-        TurnedAway(Vec<RejectionNotice>),
+        Rejections(Vec<RejectionNotice>),
         /// A relay queries a scout for its engine's load.
-        Ask(LoadAsk),
+        LoadProbe(LoadProbe),
         /// A scout's reply to such a query.
-        Answer(LoadAnswer),
+        LoadProbeReply(LoadProbeReply),
         /// A relay probes the network path to another process. Holds a number chosen by the relay.
         Ping(u32),
         /// The reply to a `Ping`, with the same number.
@@ -214,7 +214,7 @@
     }
 
     /// A request over a connection.
-    pub enum PeerQuestion {
+    pub enum PeerRequest {
         /// Requests the configuration if it is newer than the version.
         Config(u64),
         /// Requests the changes to the backend servers since the revision, or the full list.
@@ -222,9 +222,9 @@
     }
 }
 
-/// The response to a [`PeerQuestion`].
+/// The response to a [`PeerRequest`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub enum PeerAnswer {
+pub enum PeerResponse {
     /// The requester is up to date.
     Nothing,
     /// The configuration.
@@ -238,17 +238,17 @@
 /// A message that cannot be encoded or decoded.
 #[derive(Clone, Debug, Error)]
 #[error("a message of another process cannot be read ({0}); run the same version everywhere")]
-pub struct WordError(String);
+pub struct CodecError(String);
 
 /// The result of encoding or decoding a message.
-pub type Result<T> = std::result::Result<T, WordError>;
+pub type Result<T> = std::result::Result<T, CodecError>;
 
 /// Encodes a message.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>> {
-    postcard::to_stdvec(message).map_err(|error| WordError(error.to_string()))
+    postcard::to_stdvec(message).map_err(|error| CodecError(error.to_string()))
 }
 
 /// Decodes a message.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T> {
-    postcard::from_bytes(bytes).map_err(|error| WordError(error.to_string()))
+    postcard::from_bytes(bytes).map_err(|error| CodecError(error.to_string()))
 }
--- a/lib/src/wire.rs
+++ b/lib/src/wire.rs
@@ -139,7 +139,7 @@
         /// Evidence on requests that end engines.
         Marks(Vec<CrashMark>),
         /// A question between any two processes: the only frame of its connection, answered by a
-        /// [`PeerAnswer`].
+        /// [`PeerResponse`].
         Ask(PeerAsk),
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// The answer to a [`PeerAsk`].
-    pub enum PeerAnswer {
+    pub enum PeerResponse {
         /// The marks were taken in.
         Taken,
         /// The version's parts; `None` where that version is not in force there.
--- a/lib/tests/burst/mod.rs
+++ b/lib/tests/burst/mod.rs
@@ -18,9 +18,9 @@
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
 use cicada_lib::move_plan;
-use cicada_lib::peer_words::EngineHere;
-use cicada_lib::peer_words::EngineLoad;
-use cicada_lib::peer_words::SentWord;
+use cicada_lib::peer_messages::EngineLoad;
+use cicada_lib::peer_messages::EngineLocation;
+use cicada_lib::peer_messages::RequestSent;
 use cicada_lib::recent_rejections::RecentRejections;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::site::ServerChange;
@@ -162,7 +162,7 @@
 enum Event {
     Request(usize, Caller),
     LoadReport(usize, usize, EngineLoad),
-    RunStarted(usize, SentWord),
+    RunStarted(usize, RequestSent),
 }
 
 /// The state of the simulation.
@@ -187,8 +187,8 @@
     SocketAddr::from(([10, 0, 0, engine as u8], 8_701))
 }
 
-fn here(engine: usize) -> EngineHere {
-    EngineHere {
+fn here(engine: usize) -> EngineLocation {
+    EngineLocation {
         address: address(engine),
         service: Name::new("llm"),
         zone: Name::new("a"),
@@ -381,7 +381,7 @@
         entry_state.fleet.record_sent(now, key, &need);
         let engine = entry_state.fleet.record(key).expect("chosen").address;
         self.run_count += 1;
-        let message = SentWord {
+        let message = RequestSent {
             id: Name::new(format!("r-{}", self.run_count)),
             engine,
             prompt: need.prompt,
@@ -458,15 +458,15 @@
             runs,
             ..EngineReport::default()
         };
-        let (running, reading) = (report.running, report.reading);
+        let (running, prefilling) = (report.running, report.reading);
         engine_state.load_tracker.update(now, report);
         let forecast = engine_state.load_tracker.forecast(now, None);
         let load = EngineLoad {
             running,
-            reading,
+            prefilling,
             used,
-            planned: forecast.peak_tokens,
-            unread: forecast.prefill_tokens,
+            peak_tokens: forecast.peak_tokens,
+            prefill_tokens: forecast.prefill_tokens,
             capacity: CAPACITY,
             ..EngineLoad::default()
         };
--- a/lib/tests/cold_start.rs
+++ b/lib/tests/cold_start.rs
@@ -12,8 +12,8 @@
 use cicada_lib::fleet::NoServer;
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words::EngineHere;
-use cicada_lib::peer_words::EngineLoad;
+use cicada_lib::peer_messages::EngineLoad;
+use cicada_lib::peer_messages::EngineLocation;
 use cicada_lib::site::ServerChange;
 use cicada_lib::site::ServerRecord;
 use cicada_lib::site::ServiceSpec;
@@ -59,14 +59,14 @@
 }
 
 fn report(fleet: &mut Fleet, now: Time, number: u16, used: u64) {
-    let here = EngineHere {
+    let here = EngineLocation {
         address: engine(number),
         service: Name::new("llm"),
         zone: Name::new(if number < WARM_SERVERS { "a" } else { "b" }),
     };
     let load = EngineLoad {
         used,
-        planned: used,
+        peak_tokens: used,
         running: (used / 3_000) as u32,
         capacity: CAPACITY,
         ..EngineLoad::default()
@@ -267,7 +267,7 @@
         "an outdated record does not end the cold period"
     );
     assert_eq!(accepted(&mut fleet, 5_100), 10, "warm again");
-    let here = EngineHere {
+    let here = EngineLocation {
         address: engine(0),
         service: service.clone(),
         zone: Name::new("a"),
--- a/lib/tests/engine_load_tracker.rs
+++ b/lib/tests/engine_load_tracker.rs
@@ -7,16 +7,16 @@
 use cicada_lib::engine_load_tracker::EngineLoadTracker;
 use cicada_lib::engine_load_tracker::LoadForecast;
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words::LoadAsk;
-use cicada_lib::peer_words::SentWord;
+use cicada_lib::peer_messages::LoadProbe;
+use cicada_lib::peer_messages::RequestSent;
 use cicada_lib::time::Time;
 
 fn millis(ms: u64) -> Time {
     Time::from_millis(ms)
 }
 
-fn request(id: &str, prompt: u64, tokens: u64) -> SentWord {
-    SentWord {
+fn request(id: &str, prompt: u64, tokens: u64) -> RequestSent {
+    RequestSent {
         id: Name::new(id),
         engine: ([10, 0, 0, 1], 8_701).into(),
         prompt,
@@ -128,13 +128,13 @@
     assert!(load_tracker.len() < 2_500, "{}", load_tracker.len());
 }
 
-fn ask(id: &str, prompt: u64, asked: u32) -> LoadAsk {
-    LoadAsk {
+fn ask(id: &str, prompt: u64, probed_engines: u32) -> LoadProbe {
+    LoadProbe {
         id: Name::new(id),
         engine: ([10, 0, 0, 1], 8_701).into(),
         prompt,
         tokens: prompt + 500,
-        asked,
+        probed_engines,
     }
 }
 
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -10,8 +10,8 @@
 use cicada_lib::fleet::NoServer;
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words::EngineHere;
-use cicada_lib::peer_words::EngineLoad;
+use cicada_lib::peer_messages::EngineLoad;
+use cicada_lib::peer_messages::EngineLocation;
 use cicada_lib::residency::ANY_REGION;
 use cicada_lib::residency::AllowedRegions;
 use cicada_lib::revision::Revision;
@@ -55,8 +55,8 @@
     site::server(&format!("i-{number}"), address(number), zone, 24)
 }
 
-fn here(number: u16, zone: &str) -> EngineHere {
-    EngineHere {
+fn here(number: u16, zone: &str) -> EngineLocation {
+    EngineLocation {
         address: address(number),
         service: Name::new("llm"),
         zone: Name::new(zone),
@@ -67,7 +67,7 @@
     EngineLoad {
         running,
         used,
-        planned: used + u64::from(running) * 400,
+        peak_tokens: used + u64::from(running) * 400,
         capacity: CAPACITY,
         ..EngineLoad::default()
     }
@@ -466,7 +466,7 @@
     let service = Name::new("llm");
     let frequent = report(0, 0);
     let infrequent = EngineLoad {
-        every: 500,
+        interval_ms: 500,
         ..report(0, 0)
     };
     let mut near = fleet("a");
--- a/lib/tests/relays/mod.rs
+++ b/lib/tests/relays/mod.rs
@@ -16,10 +16,10 @@
 use cicada_lib::fleet::Location;
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words::EngineHere;
-use cicada_lib::peer_words::EngineLoad;
-use cicada_lib::peer_words::LoadAsk;
-use cicada_lib::peer_words::SentWord;
+use cicada_lib::peer_messages::EngineLoad;
+use cicada_lib::peer_messages::EngineLocation;
+use cicada_lib::peer_messages::LoadProbe;
+use cicada_lib::peer_messages::RequestSent;
 use cicada_lib::placement;
 use cicada_lib::placement::ProbeRound;
 use cicada_lib::routing::ServerKey;
@@ -160,8 +160,8 @@
     SocketAddr::from(([10, 0, 0, engine as u8], 8_701))
 }
 
-fn engine_here(engine: usize) -> EngineHere {
-    EngineHere {
+fn engine_here(engine: usize) -> EngineLocation {
+    EngineLocation {
         address: address(engine),
         service: Name::new("llm"),
         zone: zone(engine),
@@ -277,10 +277,10 @@
         let forecast = state.load_tracker.forecast(self.time(), without);
         EngineLoad {
             running: (state.runs.len() + state.prompts.len()) as u32,
-            planned: forecast.peak_tokens,
-            unread: forecast.prefill_tokens,
+            peak_tokens: forecast.peak_tokens,
+            prefill_tokens: forecast.prefill_tokens,
             capacity: CAPACITY,
-            every: self.interval as u32,
+            interval_ms: self.interval as u32,
             ..EngineLoad::default()
         }
     }
@@ -322,7 +322,7 @@
         fleet.record_sent(now, key, &need);
         let engine = fleet.record(key).expect("chosen").address;
         let index = engine_index(engine);
-        let word = SentWord {
+        let word = RequestSent {
             id: id.clone(),
             engine,
             prompt,
@@ -362,12 +362,12 @@
         for key in &probed {
             let engine = self.relays[relay].record(*key).expect("probed").address;
             let load = self.load(engine_index(engine), Some(id));
-            let ask = LoadAsk {
+            let ask = LoadProbe {
                 id: id.clone(),
                 engine,
                 prompt: need.prompt,
                 tokens: need.tokens,
-                asked: probed.len() as u32,
+                probed_engines: probed.len() as u32,
             };
             self.engines[engine_index(engine)]
                 .load_tracker
--- a/relay/src/choice.rs
+++ b/relay/src/choice.rs
@@ -6,7 +6,7 @@
 
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words::LoadAsk;
+use cicada_lib::peer_messages::LoadProbe;
 use cicada_lib::placement;
 use cicada_lib::placement::ProbeRound;
 use cicada_lib::routing::ServerKey;
@@ -106,19 +106,19 @@
     id: &Name,
     request: &PlacementRequest<'_>,
     servers: &[ServerKey],
-) -> (Vec<LoadAsk>, Duration) {
+) -> (Vec<LoadProbe>, Duration) {
     let now = relay.now();
     let fleet = relay.fleet();
     let records = servers.iter().filter_map(|key| fleet.record(*key));
     let records: Vec<&ServerRecord> = records.collect();
     let round_trips = records.iter().map(|r| fleet.round_trip(now, &r.zone));
     let max_round_trip = round_trips.max().unwrap_or_default();
-    let asks = records.iter().map(|record| LoadAsk {
+    let asks = records.iter().map(|record| LoadProbe {
         id: id.clone(),
         engine: record.address,
         prompt: request.prompt,
         tokens: request.tokens,
-        asked: records.len() as u32,
+        probed_engines: records.len() as u32,
     });
     (asks.collect(), max_round_trip)
 }
--- a/relay/src/datagram_socket.rs
+++ b/relay/src/datagram_socket.rs
@@ -4,8 +4,8 @@
 use std::net::IpAddr;
 use std::net::SocketAddr;
 
-use cicada_lib::peer_words;
-use cicada_lib::peer_words::Datagram;
+use cicada_lib::peer_messages;
+use cicada_lib::peer_messages::Datagram;
 use tokio::net::UdpSocket;
 
 /// A UDP socket for encoded datagrams. All processes of a deployment use the same port.
@@ -47,7 +47,7 @@
 
     /// Sends a datagram to each of the addresses.
     pub(crate) async fn send(&self, datagram: &Datagram, recipients: &[SocketAddr]) {
-        let bytes = match peer_words::encode(datagram) {
+        let bytes = match peer_messages::encode(datagram) {
             Ok(bytes) => bytes,
             Err(error) => {
                 tracing::warn!(%error, "peers: cannot encode a datagram");
--- a/relay/src/directory_watcher.rs
+++ b/relay/src/directory_watcher.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cicada_lib::peer_words::PeerAnswer;
-use cicada_lib::peer_words::PeerQuestion;
+use cicada_lib::peer_messages::PeerRequest;
+use cicada_lib::peer_messages::PeerResponse;
 use cicada_lib::revision::ERA_SETTLE_TIME;
 use cicada_lib::revision::Revision;
 use cicada_lib::site::Directory;
@@ -352,33 +352,33 @@
                 .peers()
                 .most_advanced_config(self.relay.version());
             if let Some(peer) = ahead.filter(|_| self.relay.version() == version) {
-                self.pull_from(peer, &PeerQuestion::Config(version)).await;
+                self.pull_from(peer, &PeerRequest::Config(version)).await;
             }
             let ahead = self
                 .relay
                 .peers()
                 .most_advanced_servers(self.relay.revision());
             if let Some(peer) = ahead.filter(|_| self.relay.revision() == revision) {
-                self.pull_from(peer, &PeerQuestion::Servers(revision)).await;
+                self.pull_from(peer, &PeerRequest::Servers(revision)).await;
             }
             version = self.relay.version();
             revision = self.relay.revision();
         }
     }
 
-    async fn pull_from(&self, peer: SocketAddr, question: &PeerQuestion) {
+    async fn pull_from(&self, peer: SocketAddr, question: &PeerRequest) {
         let before = self.relay.revision();
         match peer_pull::request(peer, question).await {
-            Ok(PeerAnswer::Nothing) => {}
-            Ok(PeerAnswer::Config(config)) => {
+            Ok(PeerResponse::Nothing) => {}
+            Ok(PeerResponse::Config(config)) => {
                 tracing::info!(%peer, version = config.version, "peers: a configuration came from a relay");
                 self.relay.set_config(config);
             }
-            Ok(PeerAnswer::Servers(listing)) => {
+            Ok(PeerResponse::Servers(listing)) => {
                 tracing::info!(%peer, revision = %listing.revision, "peers: pulled servers from a relay");
                 self.relay.apply_peer_listing(&listing);
             }
-            Ok(PeerAnswer::Changes(changes)) => {
+            Ok(PeerResponse::Changes(changes)) => {
                 let count = changes.changes.len();
                 tracing::debug!(%peer, count, revision = %changes.revision, "peers: pulled changes of servers from a relay");
                 self.relay.apply_changes(before, &changes);
--- a/relay/src/engine_reports.rs
+++ b/relay/src/engine_reports.rs
@@ -1,10 +1,10 @@
 //! Applies what scouts report of their engines to a relay's state.
 
-use cicada_lib::peer_words::EngineHere;
-use cicada_lib::peer_words::EngineIdentity;
-use cicada_lib::peer_words::EngineLoad;
-use cicada_lib::peer_words::LoadAnswer;
-use cicada_lib::peer_words::ScoutReport;
+use cicada_lib::peer_messages::EngineIdentity;
+use cicada_lib::peer_messages::EngineLoad;
+use cicada_lib::peer_messages::EngineLocation;
+use cicada_lib::peer_messages::LoadProbeReply;
+use cicada_lib::peer_messages::ScoutReport;
 
 use crate::relay::Relay;
 
@@ -12,41 +12,45 @@
     /// Applies a load report.
     pub(crate) fn handle_report(&self, report: &ScoutReport) {
         let load = self.effective_load(&report.load);
-        let started_leaving = self.fleet().apply_report(self.now(), &report.here, &load);
+        let started_leaving = self.fleet().apply_report(self.now(), &report.engine, &load);
         self.handle_leaving(started_leaving, report);
     }
 
     /// Applies the answer to a load probe.
-    pub(crate) fn handle_load_answer(&self, answer: &LoadAnswer) {
+    pub(crate) fn handle_load_answer(&self, answer: &LoadProbeReply) {
         let report = &answer.report;
         let load = self.effective_load(&report.load);
         let started_leaving = self
             .fleet()
-            .apply_load_answer(self.now(), &report.here, &load);
+            .apply_load_answer(self.now(), &report.engine, &load);
         self.handle_leaving(started_leaving, report);
         self.load_probes().record_answer(answer);
     }
 
     /// The reported load, without the failure rate if the settings disable avoiding failing engines.
     fn effective_load(&self, load: &EngineLoad) -> EngineLoad {
-        let failing = if self.policy().avoid { load.failing } else { 0 };
+        let failure_percent = if self.policy().avoid {
+            load.failure_percent
+        } else {
+            0
+        };
         EngineLoad {
-            failing,
+            failure_percent,
             ..load.clone()
         }
     }
 
     fn handle_leaving(&self, started_leaving: bool, report: &ScoutReport) {
         if started_leaving {
-            let ScoutReport { here, load } = report;
-            tracing::info!(engine = %here.address, leaves = ?load.leaves, "fleet: an engine leaves");
+            let ScoutReport { engine, load } = report;
+            tracing::info!(engine = %engine.address, leaves = ?load.leaves, "fleet: an engine leaves");
             self.notify_leaving();
         }
     }
 
     /// Applies the identifier of an engine's current incarnation.
     pub(crate) fn handle_identity(&self, identity: &EngineIdentity) {
-        let (here, id) = (&identity.here, &identity.id);
+        let (here, id) = (&identity.engine, &identity.id);
         if self.fleet().apply_identity(self.now(), here, id) {
             let address = here.address;
             tracing::info!(engine = %address, server = %id, "fleet: a scout names another life of its engine");
@@ -56,7 +60,7 @@
     /// Applies the announcement of an engine, and returns whether the engine is new to this relay. Ignored
     /// unless the directory is unreachable: otherwise the directory lists the engine together with its
     /// identifier.
-    pub(crate) fn handle_announcement(&self, here: &EngineHere) -> bool {
+    pub(crate) fn handle_announcement(&self, here: &EngineLocation) -> bool {
         if !self.is_directory_unreachable() || !self.table().services().contains_key(&here.service)
         {
             return false;
--- a/relay/src/load_asks.rs
+++ b/relay/src/load_asks.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words::LoadAnswer;
-use cicada_lib::peer_words::LoadAsk;
+use cicada_lib::peer_messages::LoadProbe;
+use cicada_lib::peer_messages::LoadProbeReply;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use tokio::time::timeout_at;
@@ -27,12 +27,12 @@
 /// The pending load probes.
 pub(crate) struct LoadProbes {
     pending: PendingProbes,
-    queue: mpsc::Sender<Vec<LoadAsk>>,
+    queue: mpsc::Sender<Vec<LoadProbe>>,
 }
 
 impl LoadProbes {
     /// Creates an empty set, and the queue from which probes are sent.
-    pub(crate) fn new() -> (Self, mpsc::Receiver<Vec<LoadAsk>>) {
+    pub(crate) fn new() -> (Self, mpsc::Receiver<Vec<LoadProbe>>) {
         let (queue, queued) = mpsc::channel(PROBE_QUEUE);
         let pending = Mutex::default();
         (LoadProbes { pending, queue }, queued)
@@ -40,7 +40,7 @@
 
     /// Probes the scouts of the engines and returns the engines whose scouts answered in time. `trip` is the
     /// round trip to the farthest of them.
-    pub(crate) async fn probe(&self, probes: Vec<LoadAsk>, trip: Duration) -> Vec<SocketAddr> {
+    pub(crate) async fn probe(&self, probes: Vec<LoadProbe>, trip: Duration) -> Vec<SocketAddr> {
         let Some(id) = probes.first().map(|probe| probe.id.clone()) else {
             return Vec::new();
         };
@@ -61,12 +61,12 @@
     }
 
     /// Records a scout's answer, after the load in it has been applied.
-    pub(crate) fn record_answer(&self, answer: &LoadAnswer) {
+    pub(crate) fn record_answer(&self, answer: &LoadProbeReply) {
         let pending = lock(&self.pending);
         let Some(answers) = pending.get(&answer.id) else {
             return;
         };
-        if answers.try_send(answer.report.here.address).is_err() {
+        if answers.try_send(answer.report.engine.address).is_err() {
             tracing::debug!(id = %answer.id, "placement: a scout answered twice");
         }
     }
--- a/relay/src/moved_runs.rs
+++ b/relay/src/moved_runs.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words::MovedRun;
+use cicada_lib::peer_messages::MovedRun;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 use tokio::time::Instant;
--- a/relay/src/peer_net.rs
+++ b/relay/src/peer_net.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cicada_lib::peer_words;
-use cicada_lib::peer_words::Datagram;
-use cicada_lib::peer_words::LoadAsk;
-use cicada_lib::peer_words::RelayHello;
-use cicada_lib::peer_words::ServerNews;
-use cicada_lib::peer_words::Subscription;
+use cicada_lib::peer_messages;
+use cicada_lib::peer_messages::Datagram;
+use cicada_lib::peer_messages::LoadProbe;
+use cicada_lib::peer_messages::RelayHello;
+use cicada_lib::peer_messages::ServerUpdate;
+use cicada_lib::peer_messages::Subscription;
 use tokio::sync::mpsc;
 use tokio::time::MissedTickBehavior;
 use tokio::time::interval;
@@ -93,7 +93,7 @@
         zone_probes.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut rejections = interval(REJECTIONS_INTERVAL);
         rejections.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut buffer = [0; peer_words::MAX_DATAGRAM];
+        let mut buffer = [0; peer_messages::MAX_DATAGRAM];
         loop {
             tokio::select! {
                 _ = renewals.tick() => self.subscribe().await,
@@ -107,11 +107,11 @@
                 Some(sent) = sent.recv() => self.send_request_notice(sent).await,
                 Some(notice) = ended.recv() => {
                     let scout = self.socket.address_on(notice.engine.ip());
-                    self.socket.send(&Datagram::Ended(notice), &[scout]).await;
+                    self.socket.send(&Datagram::RequestOutcome(notice), &[scout]).await;
                 }
                 Some(query) = move_queries.recv() => {
                     let scout = self.socket.address_on(query.engine.ip());
-                    self.socket.send(&Datagram::WasMoved(query.id), &[scout]).await;
+                    self.socket.send(&Datagram::QueryMove(query.id), &[scout]).await;
                 }
                 received = self.socket.receive(&mut buffer) => {
                     if let Some((length, from)) = received {
@@ -202,10 +202,10 @@
         self.relay.update_entry_shares();
         let datagram = Datagram::Hello(RelayHello {
             zone: self.relay.settings().place.zone.clone(),
-            fed: self.relay.is_watching_directory(),
+            watches_directory: self.relay.is_watching_directory(),
             version: self.relay.version(),
             revision: self.relay.revision(),
-            others: self.relay.peers().sample_heard(MAX_NAMED_RELAYS),
+            known_relays: self.relay.peers().sample_heard(MAX_NAMED_RELAYS),
             evacuated: self.relay.evacuated(),
             limits: self.relay.limit_reports(),
         });
@@ -220,7 +220,7 @@
         let now = self.relay.now();
         let returns = self.relay.recent_rejections().take_unsent(now);
         if !returns.is_empty() {
-            self.send_to_zone(&Datagram::TurnedAway(returns)).await;
+            self.send_to_zone(&Datagram::Rejections(returns)).await;
         }
     }
 
@@ -240,9 +240,10 @@
 
     /// Sends changes of the server list to the relays of the region. Relays that miss a datagram pull the
     /// changes, see `peer_pull`.
-    async fn send_server_changes(&self, news: ServerNews) {
-        let datagram = Datagram::News(news);
-        let fits = peer_words::encode(&datagram).is_ok_and(|b| b.len() <= peer_words::MAX_DATAGRAM);
+    async fn send_server_changes(&self, news: ServerUpdate) {
+        let datagram = Datagram::ServerUpdate(news);
+        let fits =
+            peer_messages::encode(&datagram).is_ok_and(|b| b.len() <= peer_messages::MAX_DATAGRAM);
         if fits {
             self.send_to_region(&datagram).await;
         }
@@ -256,14 +257,16 @@
         };
         recipients.push(self.socket.address_on(message.engine.ip()));
         self.socket
-            .send(&Datagram::Sent(message), &recipients)
+            .send(&Datagram::RequestSent(message), &recipients)
             .await;
     }
 
-    async fn send_load_probes(&self, probes: Vec<LoadAsk>) {
+    async fn send_load_probes(&self, probes: Vec<LoadProbe>) {
         for probe in probes {
             let scout = self.socket.address_on(probe.engine.ip());
-            self.socket.send(&Datagram::Ask(probe), &[scout]).await;
+            self.socket
+                .send(&Datagram::LoadProbe(probe), &[scout])
+                .await;
         }
     }
 
@@ -283,7 +286,7 @@
     }
 
     async fn handle_datagram(&mut self, bytes: &[u8], from: SocketAddr) {
-        match peer_words::decode(bytes) {
+        match peer_messages::decode(bytes) {
             Ok(Datagram::Ping(sequence)) => {
                 self.socket.send(&Datagram::Pong(sequence), &[from]).await;
             }
@@ -303,11 +306,13 @@
 
     /// Applies a datagram to the relay's state and returns the datagram to pass on, if any.
     fn apply_datagram(&self, bytes: &[u8], from: SocketAddr) -> Option<Datagram> {
-        match peer_words::decode(bytes) {
-            Ok(Datagram::Report(report)) if report.here.address.ip() == from.ip() => {
+        match peer_messages::decode(bytes) {
+            Ok(Datagram::Report(report)) if report.engine.address.ip() == from.ip() => {
                 self.relay.handle_report(&report);
             }
-            Ok(Datagram::Answer(answer)) if answer.report.here.address.ip() == from.ip() => {
+            Ok(Datagram::LoadProbeReply(answer))
+                if answer.report.engine.address.ip() == from.ip() =>
+            {
                 self.relay.handle_load_answer(&answer);
             }
             Ok(Datagram::Moving(moving)) if moving.source.ip() == from.ip() => {
@@ -316,27 +321,27 @@
             Ok(Datagram::Moved(moved)) if moved.source.ip() == from.ip() => {
                 self.relay.record_moved_run(moved);
             }
-            Ok(Datagram::TurnedAway(returns)) => {
+            Ok(Datagram::Rejections(returns)) => {
                 let now = self.relay.now();
                 self.relay.recent_rejections().merge(now, &returns);
             }
-            Ok(Datagram::News(news)) => self.relay.handle_server_news(&news),
-            Ok(Datagram::Sent(notice)) => self.relay.record_sent_elsewhere(&notice),
-            Ok(Datagram::Here(here)) if here.address.ip() == from.ip() => {
+            Ok(Datagram::ServerUpdate(news)) => self.relay.handle_server_news(&news),
+            Ok(Datagram::RequestSent(notice)) => self.relay.record_sent_elsewhere(&notice),
+            Ok(Datagram::Announcement(here)) if here.address.ip() == from.ip() => {
                 self.relay.handle_announcement(&here);
-                return Some(Datagram::HerePassedOn(here));
+                return Some(Datagram::ForwardedAnnouncement(here));
             }
-            Ok(Datagram::Identity(identity)) if identity.here.address.ip() == from.ip() => {
+            Ok(Datagram::Identity(identity)) if identity.engine.address.ip() == from.ip() => {
                 self.relay.handle_identity(&identity);
             }
             // Every relay to which the announcement is new passes it on, so that it reaches all of them.
-            Ok(Datagram::HerePassedOn(here)) if self.relay.handle_announcement(&here) => {
-                return Some(Datagram::HerePassedOn(here));
+            Ok(Datagram::ForwardedAnnouncement(here)) if self.relay.handle_announcement(&here) => {
+                return Some(Datagram::ForwardedAnnouncement(here));
             }
             Ok(Datagram::Hello(hello)) => {
                 let mut peers = self.relay.peers();
                 peers.record_hello(from, &hello);
-                peers.add_known(self.relay.settings().peer, hello.others);
+                peers.add_known(self.relay.settings().peer, hello.known_relays);
                 drop(peers);
                 self.relay.set_evacuated(&hello.evacuated);
                 self.relay.apply_limit_reports(from, &hello.limits);
--- a/relay/src/peer_pull.rs
+++ b/relay/src/peer_pull.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cicada_lib::peer_words;
-use cicada_lib::peer_words::PeerAnswer;
-use cicada_lib::peer_words::PeerQuestion;
+use cicada_lib::peer_messages;
+use cicada_lib::peer_messages::PeerRequest;
+use cicada_lib::peer_messages::PeerResponse;
 use eyre::Context;
 use eyre::bail;
 use tokio::io::AsyncReadExt;
@@ -52,12 +52,15 @@
 }
 
 /// Sends a request to another relay and returns its response.
-pub(crate) async fn request(peer: SocketAddr, question: &PeerQuestion) -> eyre::Result<PeerAnswer> {
+pub(crate) async fn request(
+    peer: SocketAddr,
+    question: &PeerRequest,
+) -> eyre::Result<PeerResponse> {
     let exchange = async {
         let mut stream = TcpStream::connect(peer).await?;
-        write_message(&mut stream, &peer_words::encode(question)?).await?;
+        write_message(&mut stream, &peer_messages::encode(question)?).await?;
         let bytes = read_message(&mut stream, MAX_RESPONSE_SIZE).await?;
-        eyre::Ok(peer_words::decode(&bytes)?)
+        eyre::Ok(peer_messages::decode(&bytes)?)
     };
     timeout(REQUEST_TIMEOUT, exchange)
         .await
@@ -66,17 +69,20 @@
 
 async fn respond(relay: &Relay, mut stream: TcpStream) -> eyre::Result<()> {
     let bytes = read_message(&mut stream, MAX_REQUEST_SIZE).await?;
-    let response = match peer_words::decode(&bytes)? {
-        PeerQuestion::Config(version) if relay.version() > version => {
-            PeerAnswer::Config(relay.table().config().clone())
+    let response = match peer_messages::decode(&bytes)? {
+        PeerRequest::Config(version) if relay.version() > version => {
+            PeerResponse::Config(relay.table().config().clone())
         }
-        PeerQuestion::Servers(revision) if relay.revision() > revision => {
+        PeerRequest::Servers(revision) if relay.revision() > revision => {
             let changes = relay.changes_since(revision);
-            changes.map_or_else(|| PeerAnswer::Servers(relay.listing()), PeerAnswer::Changes)
+            changes.map_or_else(
+                || PeerResponse::Servers(relay.listing()),
+                PeerResponse::Changes,
+            )
         }
-        PeerQuestion::Config(_) | PeerQuestion::Servers(_) => PeerAnswer::Nothing,
+        PeerRequest::Config(_) | PeerRequest::Servers(_) => PeerResponse::Nothing,
     };
-    write_message(&mut stream, &peer_words::encode(&response)?).await
+    write_message(&mut stream, &peer_messages::encode(&response)?).await
 }
 
 async fn write_message(stream: &mut TcpStream, bytes: &[u8]) -> eyre::Result<()> {
--- a/relay/src/peers.rs
+++ b/relay/src/peers.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words::RelayHello;
+use cicada_lib::peer_messages::RelayHello;
 use cicada_lib::revision::Revision;
 use tokio::time::Instant;
 
@@ -92,7 +92,7 @@
         let last_hello = LastHello {
             heard_at: Instant::now(),
             zone: hello.zone.clone(),
-            fed: hello.fed,
+            fed: hello.watches_directory,
             version: hello.version,
             revision: hello.revision,
         };
--- a/relay/src/placed_request.rs
+++ b/relay/src/placed_request.rs
@@ -6,7 +6,7 @@
 use cicada_lib::fleet::ExclusionCounts;
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words::SentWord;
+use cicada_lib::peer_messages::RequestSent;
 use cicada_lib::routing::ServerKey;
 use cicada_lib::server_limit::RequestRate;
 use cicada_lib::site::ServerRecord;
@@ -81,8 +81,8 @@
     }
 
     /// The message that announces the request to other processes.
-    pub(crate) fn sent_message(&self, id: &Name) -> SentWord {
-        SentWord {
+    pub(crate) fn sent_message(&self, id: &Name) -> RequestSent {
+        RequestSent {
             id: id.clone(),
             engine: self.record.address,
             prompt: self.prompt,
--- a/relay/src/relay.rs
+++ b/relay/src/relay.rs
@@ -15,11 +15,11 @@
 use cicada_lib::fleet::Fleet;
 use cicada_lib::freeze_detector::FreezeDetector;
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words::LoadAsk;
-use cicada_lib::peer_words::MovedRun;
-use cicada_lib::peer_words::RunEnded;
-use cicada_lib::peer_words::SentWord;
-use cicada_lib::peer_words::ServerNews;
+use cicada_lib::peer_messages::LoadProbe;
+use cicada_lib::peer_messages::MovedRun;
+use cicada_lib::peer_messages::RequestOutcome;
+use cicada_lib::peer_messages::RequestSent;
+use cicada_lib::peer_messages::ServerUpdate;
 use cicada_lib::recent_rejections::RecentRejections;
 use cicada_lib::residency::AllowedRegions;
 use cicada_lib::retry_window::RetryWindow;
@@ -53,14 +53,14 @@
 /// Receiving ends of the queues of messages to other processes.
 pub(crate) struct QueueReceivers {
     pub(crate) sent: mpsc::Receiver<SentNotice>,
-    pub(crate) ended: mpsc::Receiver<RunEnded>,
-    pub(crate) news: mpsc::Receiver<ServerNews>,
-    pub(crate) asks: mpsc::Receiver<Vec<LoadAsk>>,
+    pub(crate) ended: mpsc::Receiver<RequestOutcome>,
+    pub(crate) news: mpsc::Receiver<ServerUpdate>,
+    pub(crate) asks: mpsc::Receiver<Vec<LoadProbe>>,
 }
 
 /// A request that was sent to an engine, to be announced to other processes.
 pub(crate) struct SentNotice {
-    pub(crate) message: SentWord,
+    pub(crate) message: RequestSent,
     // Whether other relays are told, or only the engine's scout.
     pub(crate) to_relays: bool,
 }
@@ -107,8 +107,8 @@
     pub(crate) peers: Mutex<Peers>,
     // Queues of messages to other processes. `receivers` has the receiving ends until the sending task takes them.
     pub(crate) sent_queue: mpsc::Sender<SentNotice>,
-    pub(crate) ended_queue: mpsc::Sender<RunEnded>,
-    pub(crate) server_news_queue: mpsc::Sender<ServerNews>,
+    pub(crate) ended_queue: mpsc::Sender<RequestOutcome>,
+    pub(crate) server_news_queue: mpsc::Sender<ServerUpdate>,
     pub(crate) load_probes: LoadProbes,
     // Notified when the list of servers has changed, so that there may be new engines.
     pub(crate) servers_changed: Notify,
--- a/relay/src/relay_places.rs
+++ b/relay/src/relay_places.rs
@@ -8,9 +8,9 @@
 use cicada_lib::fleet::NoServer;
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words::EngineHere;
-use cicada_lib::peer_words::RunEnded;
-use cicada_lib::peer_words::SentWord;
+use cicada_lib::peer_messages::EngineLocation;
+use cicada_lib::peer_messages::RequestOutcome;
+use cicada_lib::peer_messages::RequestSent;
 use cicada_lib::recent_rejections::RecentRejections;
 use cicada_lib::residency::ANY_REGION;
 use cicada_lib::retry_window::RetryWindow;
@@ -138,7 +138,7 @@
     /// Counts a run at the engine to which its scout has moved it. Returns `None` if the run is not permitted there.
     pub(crate) fn place_moved(
         self: &Arc<Self>,
-        engine: &EngineHere,
+        engine: &EngineLocation,
         request: &PlacementRequest<'_>,
     ) -> Option<PlacedRequest> {
         let now = self.now();
@@ -176,10 +176,10 @@
     }
 
     /// Tells the engine's scout whether a request succeeded there.
-    pub(crate) fn report_outcome(&self, engine: SocketAddr, well: bool) {
+    pub(crate) fn report_outcome(&self, engine: SocketAddr, succeeded: bool) {
         if self
             .ended_queue
-            .try_send(RunEnded { engine, well })
+            .try_send(RequestOutcome { engine, succeeded })
             .is_err()
         {
             tracing::debug!(%engine, "peers: the queue of request outcomes is full; one was dropped");
@@ -187,7 +187,7 @@
     }
 
     /// Records a request that another relay sent to an engine.
-    pub(crate) fn record_sent_elsewhere(&self, message: &SentWord) {
+    pub(crate) fn record_sent_elsewhere(&self, message: &RequestSent) {
         let now = self.now();
         let mut fleet = self.fleet();
         fleet.record_sent_elsewhere(now, message.engine, message.prompt, message.tokens);
--- a/relay/src/relay_view.rs
+++ b/relay/src/relay_view.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words::ServerNews;
+use cicada_lib::peer_messages::ServerUpdate;
 use cicada_lib::revision::EraTracker;
 use cicada_lib::revision::Revision;
 use cicada_lib::route_table::RouteTable;
@@ -95,7 +95,7 @@
     /// Applies changes of the list that the directory reported, and passes them on to other relays.
     pub fn apply_directory_changes(&self, after: Revision, update: &ServerChanges) {
         if !update.changes.is_empty() {
-            let message = ServerNews {
+            let message = ServerUpdate {
                 after,
                 changes: update.clone(),
             };
@@ -109,7 +109,7 @@
     }
 
     /// Applies changes that another relay reports, if none between them and the known revision are missing.
-    pub(crate) fn handle_server_news(&self, news: &ServerNews) {
+    pub(crate) fn handle_server_news(&self, news: &ServerUpdate) {
         if self.revision() >= news.after {
             self.apply_changes(news.after, &news.changes);
         }
--- a/relay/src/run_mover.rs
+++ b/relay/src/run_mover.rs
@@ -15,9 +15,9 @@
 use cicada_lib::ids::Name;
 use cicada_lib::move_plan;
 use cicada_lib::move_plan::Target;
-use cicada_lib::peer_words::EngineHere;
-use cicada_lib::peer_words::MovedRun;
-use cicada_lib::peer_words::ScoutReport;
+use cicada_lib::peer_messages::EngineLocation;
+use cicada_lib::peer_messages::MovedRun;
+use cicada_lib::peer_messages::ScoutReport;
 use cicada_lib::zone_evacuation::EvacuatedZones;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
@@ -63,7 +63,7 @@
             moved_tokens: 0,
             moved_runs: 0,
         };
-        self.lock().insert(report.here.address, neighbour);
+        self.lock().insert(report.engine.address, neighbour);
     }
 
     /// Applies which availability zones are evacuated, if newer than what is known.
@@ -89,20 +89,20 @@
             .values()
             .filter(|n| n.reported_at.elapsed() < MAX_REPORT_AGE);
         let evacuated = lock(&self.evacuated);
-        let fresh = fresh.filter(|n| !evacuated.contains(&n.report.here.zone));
+        let fresh = fresh.filter(|n| !evacuated.contains(&n.report.engine.zone));
         let (leaving, mut staying): (Vec<_>, Vec<_>) = fresh.partition(|n| n.report.load.leaving);
-        let leaving: Vec<SocketAddr> = leaving.iter().map(|n| n.report.here.address).collect();
-        staying.sort_by_key(|n| n.report.here.address);
+        let leaving: Vec<SocketAddr> = leaving.iter().map(|n| n.report.engine.address).collect();
+        staying.sort_by_key(|n| n.report.engine.address);
         let limited = lock(&self.limited);
         let targets = staying.iter().enumerate().map(|(index, n)| Target {
-            address: n.report.here.address,
+            address: n.report.engine.address,
             used: n.report.load.used + n.moved_tokens,
             capacity: n.report.load.capacity,
             requests: n.report.load.running + n.report.load.queued + n.moved_runs,
-            same_zone: n.report.here.zone == *zone,
+            same_zone: n.report.engine.zone == *zone,
             cold: n.report.load.cold > 0,
             limited: limited
-                .get(&n.report.here.address)
+                .get(&n.report.engine.address)
                 .is_some_and(|told_at| told_at.elapsed() < LIMITED_TTL),
             assigned: move_plan::is_assigned_to(engine, &leaving, index),
         });
@@ -133,7 +133,7 @@
 /// Moves runs until the engine is gone. Ends when the channel of reports closes.
 pub(crate) async fn run(
     engines: Arc<dyn EngineCalls>,
-    here: EngineHere,
+    here: EngineLocation,
     neighbours: Arc<Neighbours>,
     mut reports: watch::Receiver<EngineReport>,
     notices: mpsc::Sender<MoveNotice>,
--- a/relay/src/run_moves.rs
+++ b/relay/src/run_moves.rs
@@ -10,8 +10,8 @@
 use cicada_lib::dialect::RunMemory;
 use cicada_lib::fleet::PlacementRequest;
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words::EngineHere;
-use cicada_lib::peer_words::MovedRun;
+use cicada_lib::peer_messages::EngineLocation;
+use cicada_lib::peer_messages::MovedRun;
 use cicada_lib::routing::ServerKey;
 use http_body_util::BodyExt;
 use tokio::time::Instant;
@@ -276,7 +276,7 @@
             ..PlacementRequest::new(&self.call.service, 0, self.tokens)
         };
         let target = target.and_then(|address| {
-            let engine = EngineHere {
+            let engine = EngineLocation {
                 address,
                 service: self.call.service.clone(),
                 zone: self.placed.record.zone.clone(),
--- a/relay/src/scout.rs
+++ b/relay/src/scout.rs
@@ -17,15 +17,15 @@
 use cicada_lib::engine_load_tracker::EngineLoadTracker;
 use cicada_lib::failure_rate::FailureRate;
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words;
-use cicada_lib::peer_words::Datagram;
-use cicada_lib::peer_words::EngineHere;
-use cicada_lib::peer_words::EngineIdentity;
-use cicada_lib::peer_words::LoadAnswer;
-use cicada_lib::peer_words::LoadAsk;
-use cicada_lib::peer_words::MovedRun;
-use cicada_lib::peer_words::ScoutReport;
-use cicada_lib::peer_words::Subscription;
+use cicada_lib::peer_messages;
+use cicada_lib::peer_messages::Datagram;
+use cicada_lib::peer_messages::EngineIdentity;
+use cicada_lib::peer_messages::EngineLocation;
+use cicada_lib::peer_messages::LoadProbe;
+use cicada_lib::peer_messages::LoadProbeReply;
+use cicada_lib::peer_messages::MovedRun;
+use cicada_lib::peer_messages::ScoutReport;
+use cicada_lib::peer_messages::Subscription;
 use cicada_lib::time::Clock;
 use cicada_lib::time::Time;
 use tokio::sync::mpsc;
@@ -75,7 +75,7 @@
 pub struct Scout {
     pub(crate) engine_calls: Arc<dyn EngineCalls>,
     // The engine on this host.
-    pub(crate) engine: EngineHere,
+    pub(crate) engine: EngineLocation,
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) socket: Arc<DatagramSocket>,
     // Relays and neighbours' scouts that handle_subscription to reports, with the time of their last subscription.
@@ -114,7 +114,7 @@
     /// announces its engine to the `seeds`.
     pub async fn bind(
         peer: SocketAddr,
-        engine: EngineHere,
+        engine: EngineLocation,
         seeds: Vec<SocketAddr>,
         engine_calls: Arc<dyn EngineCalls>,
     ) -> std::io::Result<Self> {
@@ -152,7 +152,7 @@
         let mut polls = interval(POLL_INTERVAL);
         polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let socket = self.socket.clone();
-        let mut buffer = [0; peer_words::MAX_DATAGRAM];
+        let mut buffer = [0; peer_messages::MAX_DATAGRAM];
         loop {
             tokio::select! {
                 _ = polls.tick() => self.poll().await,
@@ -176,24 +176,24 @@
     }
 
     async fn handle_datagram(&mut self, bytes: &[u8], from: SocketAddr) {
-        match peer_words::decode(bytes) {
+        match peer_messages::decode(bytes) {
             Ok(Datagram::Subscribe(subscription)) => {
                 self.handle_subscription(from, subscription).await
             }
-            Ok(Datagram::Report(report)) if report.here.address.ip() == from.ip() => {
+            Ok(Datagram::Report(report)) if report.engine.address.ip() == from.ip() => {
                 self.neighbours.record_report(&report);
             }
-            Ok(Datagram::Sent(notice)) if notice.engine == self.engine.address => {
+            Ok(Datagram::RequestSent(notice)) if notice.engine == self.engine.address => {
                 self.load_tracker.record_sent(self.clock.now(), &notice);
                 self.last_sent_notice = Instant::now();
             }
-            Ok(Datagram::Ended(notice)) if notice.engine == self.engine.address => {
-                self.outcomes.record(self.clock.now(), notice.well);
+            Ok(Datagram::RequestOutcome(notice)) if notice.engine == self.engine.address => {
+                self.outcomes.record(self.clock.now(), notice.succeeded);
             }
-            Ok(Datagram::Ask(probe)) if probe.engine == self.engine.address => {
+            Ok(Datagram::LoadProbe(probe)) if probe.engine == self.engine.address => {
                 self.answer_probe(from, probe).await;
             }
-            Ok(Datagram::WasMoved(id)) => {
+            Ok(Datagram::QueryMove(id)) => {
                 if let Some(moved) = self.past_moves.iter().find(|moved| moved.id == id) {
                     let datagram = Datagram::Moved(moved.clone());
                     self.socket.send(&datagram, &[from]).await;
@@ -206,7 +206,7 @@
 
     /// Answers the load probe of a relay that is about to place a request. Without a recent poll of the
     /// engine it sends no answer, so that the relay chooses another engine.
-    async fn answer_probe(&mut self, from: SocketAddr, probe: LoadAsk) {
+    async fn answer_probe(&mut self, from: SocketAddr, probe: LoadProbe) {
         // The relay may place a request here, and must then learn when the engine leaves.
         self.subscribers.entry(from).or_insert_with(Instant::now);
         let now = self.clock.now();
@@ -217,7 +217,7 @@
         };
         let report = self.make_report(&report, Some(&probe.id));
         self.load_tracker.reserve(now, &probe);
-        let datagram = Datagram::Answer(LoadAnswer {
+        let datagram = Datagram::LoadProbeReply(LoadProbeReply {
             id: probe.id,
             report,
         });
@@ -313,7 +313,7 @@
         if !report.is_ok_and(|report| !report.leaving) {
             return;
         }
-        let datagram = Datagram::Here(self.engine.clone());
+        let datagram = Datagram::Announcement(self.engine.clone());
         self.socket.send(&datagram, &self.seeds).await;
     }
 
@@ -387,7 +387,7 @@
 
     fn identity_datagram(&self, id: Name) -> Datagram {
         Datagram::Identity(EngineIdentity {
-            here: self.engine.clone(),
+            engine: self.engine.clone(),
             id,
         })
     }
--- a/relay/src/scout_reports.rs
+++ b/relay/src/scout_reports.rs
@@ -4,8 +4,8 @@
 
 use cicada_lib::dialect::EngineReport;
 use cicada_lib::ids::Name;
-use cicada_lib::peer_words::EngineLoad;
-use cicada_lib::peer_words::ScoutReport;
+use cicada_lib::peer_messages::EngineLoad;
+use cicada_lib::peer_messages::ScoutReport;
 use cicada_lib::placement;
 use tokio::time::Instant;
 
@@ -43,10 +43,11 @@
         let load = &report.load;
         let changed = self.last_report.as_ref().is_none_or(|last| {
             let last = &last.load;
-            let same_requests = (last.reading, last.running) == (load.reading, load.running);
+            let same_requests = (last.prefilling, last.running) == (load.prefilling, load.running);
             let threshold = load.capacity / MEMORY_CHANGE_DIVISOR;
-            let planned_changed = last.planned.abs_diff(load.planned) > threshold;
-            let failure_rate_changed = last.failing.abs_diff(load.failing) > FAILURE_RATE_THRESHOLD;
+            let planned_changed = last.peak_tokens.abs_diff(load.peak_tokens) > threshold;
+            let failure_rate_changed =
+                last.failure_percent.abs_diff(load.failure_percent) > FAILURE_RATE_THRESHOLD;
             let follow_up_due = FOLLOW_UP_DELAYS.iter().any(|after| {
                 let due = self.last_sent_notice + *after;
                 self.last_report_at < due && due <= Instant::now()
@@ -57,7 +58,7 @@
                 || planned_changed
                 || failure_rate_changed
                 || follow_up_due
-                || last.unread.abs_diff(load.unread) > threshold
+                || last.prefill_tokens.abs_diff(load.prefill_tokens) > threshold
         });
         let delay = if changed {
             POLL_INTERVAL
@@ -86,22 +87,22 @@
         let now = self.clock.now();
         let forecast = self.load_tracker.forecast(now, excluded);
         ScoutReport {
-            here: self.engine.clone(),
+            engine: self.engine.clone(),
             load: EngineLoad {
                 born: report.born,
                 queued: report.queued,
                 running: report.running,
-                reading: report.reading,
+                prefilling: report.reading,
                 used: report.used,
-                planned: forecast.peak_tokens,
-                unread: forecast.prefill_tokens,
-                reads: (self.load_tracker.prefill_rate() * 10.0) as u32,
+                peak_tokens: forecast.peak_tokens,
+                prefill_tokens: forecast.prefill_tokens,
+                prefill_rate: (self.load_tracker.prefill_rate() * 10.0) as u32,
                 capacity: report.capacity,
-                failing: (self.outcomes.rate(now) * 100.0) as u8,
+                failure_percent: (self.outcomes.rate(now) * 100.0) as u8,
                 leaving: report.leaving,
                 leaves: report.leaves.map(|time| time.as_millis() as u32),
                 cold: self.cold.remaining(now, self.cold_period).as_millis() as u32,
-                every: self.report_interval().as_millis() as u32,
+                interval_ms: self.report_interval().as_millis() as u32,
             },
         }
     }
