--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -22,7 +22,7 @@
 use crate::ids::Name;
 use crate::round_trips::RoundTrips;
 use crate::routing::ServerKey;
-use crate::server_lives::ServerIncarnations;
+use crate::server_incarnations::ServerIncarnations;
 use crate::service_time::ServiceTime;
 use crate::site::ServerChange;
 use crate::site::ServerPhase;
--- a/relay/src/choice.rs
+++ b/relay/src/choice.rs
@@ -90,7 +90,7 @@
     request: &PlacementRequest<'_>,
     servers: &[ServerKey],
 ) -> Vec<ServerKey> {
-    let (asks, max_round_trip) = load_asks(relay, id, request, servers);
+    let (asks, max_round_trip) = load_probes(relay, id, request, servers);
     let answered = relay.load_probes().probe(asks, max_round_trip).await;
     relay
         .metrics()
@@ -101,7 +101,7 @@
 }
 
 /// Builds the probes to the scouts of the servers, and returns them with the longest round trip to one of them.
-fn load_asks(
+fn load_probes(
     relay: &Relay,
     id: &Name,
     request: &PlacementRequest<'_>,
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -18,7 +18,7 @@
 mod exchange;
 mod freeze_recovery;
 mod identity;
-mod load_asks;
+mod load_probes;
 mod lock;
 mod moved_runs;
 mod peer_net;
--- a/relay/src/relay.rs
+++ b/relay/src/relay.rs
@@ -36,7 +36,7 @@
 use tokio::time::Instant;
 
 use crate::caller_server;
-use crate::load_asks::LoadProbes;
+use crate::load_probes::LoadProbes;
 use crate::lock::lock;
 use crate::moved_runs::MovedRuns;
 use crate::peer_net::PeerNet;
