--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -43,8 +43,8 @@
 const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// Consecutive failures after which a server is backed off: one in seven calls fails independently of
-/// the server, three in a row one time in three hundred.
+/// Consecutive failures after which a server is backed off. About 14 % of calls fail for reasons
+/// unrelated to the server; the probability of three such failures in a row is about 0.3 %.
 const BACKOFF_THRESHOLD: u32 = 3;
 
 /// A scout whose last load report is older than this counts as silent: several report intervals.
--- a/lib/src/peers.rs
+++ b/lib/src/peers.rs
@@ -15,9 +15,9 @@
 impl PingSchedule {
     /// Returns the next member to ping.
     ///
-    /// Pings the members of the own availability zone in a shuffled round robin, so that none stays
-    /// unpinged for long. One ping in five or so goes to another zone or region, because a zone may
-    /// have no process left that pings its members.
+    /// Pings the members of this process's availability zone in a shuffled round robin, so that none
+    /// stays unpinged for long. One ping in five or so goes to another zone or region, because a zone
+    /// may have no process left that pings its members.
     pub(crate) fn next(
         &mut self,
         now: Time,
